--- a/packages/core/src/vaneturn_core/placing/__init__.py
+++ b/packages/core/src/vaneturn_core/placing/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on what each engine holds."""
+"""Planning of which model parts each engine holds."""
--- a/packages/core/src/vaneturn_core/placing/parts.py
+++ b/packages/core/src/vaneturn_core/placing/parts.py
@@ -1,4 +1,4 @@
-"""Parts of models: what an engine can hold, and which of it a pipeline wants where."""
+"""Parts of models: the units that engines hold, and the parts that a pipeline needs on each server."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     end: int
 
     def covers(self, other: Part) -> bool:
-        """Tell whether an engine that holds this can run the other."""
+        """Tell whether an engine that holds this part can run the other one."""
         same = (self.model, self.version, self.adapter) == (other.model, other.version, other.adapter)
         return same and self.first <= other.first and other.end <= self.end
 
@@ -32,33 +32,33 @@
 
 
 class Holdings(Struct, frozen=True, tag="holdings", array_like=True):
-    """What an engine says of itself when a link opens, and after each change or order."""
+    """An engine's report of its parts, sent when a link opens and after each change or order."""
 
-    fence: int  # the greatest of all orders seen; 0 on an engine that checks none
+    fence: int  # the highest fence seen in an order; 0 on an engine that does not check fences
     held: tuple[Part, ...]  # ready for new sessions
     loading: tuple[Part, ...]
-    ending: tuple[Part, ...]  # kept for the sessions that are on it, closed to new ones
+    ending: tuple[Part, ...]  # kept only until the sessions that use them end
 
     @property
     def target(self) -> frozenset[Part]:
-        """What the newest order asked for."""
+        """The parts that the newest order requested."""
         return frozenset((*self.held, *self.loading))
 
 
 def make_part(pipeline: Pipeline, stage: Stage) -> Part:
-    """Name the part of a pipeline that a stage runs."""
+    """Make the part of a pipeline that a stage runs."""
     return Part(pipeline.model, pipeline.version, pipeline.adapter, stage.first, stage.end)
 
 
 def list_versions(pipeline: Pipeline) -> list[Pipeline]:
-    """List a pipeline as it is declared and, while a version is rolled out, as it was before."""
+    """List the pipeline as declared and, during a rollout, a copy of it with the previous version."""
     if pipeline.previous_version in {None, pipeline.version}:
         return [pipeline]
     return [pipeline, msgspec.structs.replace(pipeline, version=pipeline.previous_version)]
 
 
 def group_parts(pipelines: Iterable[Pipeline]) -> Mapping[VmId, frozenset[Part]]:
-    """Group what pipelines want by the server that is to hold it."""
+    """Group the parts that pipelines need by the server that should hold them."""
     grouped: defaultdict[VmId, set[Part]] = defaultdict(set)
     for pipeline in pipelines:
         for stage in pipeline.stages:
@@ -67,7 +67,7 @@
 
 
 def list_lacking(pipeline: Pipeline, held: Mapping[VmId, Collection[Part]]) -> set[VmId]:
-    """List the servers of a pipeline that do not hold its parts; what is not known of is taken to hold them."""
+    """List the servers of a pipeline that lack some of its parts; servers missing from `held` count as complete."""
     return {vm for vm, wanted in group_parts([pipeline]).items() if vm in held and not is_holding(held[vm], wanted)}
 
 
@@ -77,7 +77,7 @@
 
 
 def count_bytes(configuration: Configuration, parts: Iterable[Part]) -> int:
-    """Give the bytes of weights of parts; 0 for models that no pipeline names any more."""
+    """Sum the weight bytes of parts; models that no pipeline uses any more count as 0."""
     layer_bytes = {pipeline.model: pipeline.layer_bytes for pipeline in configuration.pipelines}
     return sum(layer_bytes.get(part.model, 0) * (part.end - part.first) for part in parts)
 
--- a/packages/core/src/vaneturn_core/placing/plan.py
+++ b/packages/core/src/vaneturn_core/placing/plan.py
@@ -1,4 +1,4 @@
-"""The plan of what each engine should hold, made anew each round from what the engines say."""
+"""Planning of which parts each engine should hold, recomputed each round from the engines' reports."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from vaneturn_core.placing.parts import Holdings, Part, count_bytes, group_parts, list_lacking, list_versions, make_part
 from vaneturn_core.routing.flow import compute_flow
 
-KEPT_SHARE: Final = 0.5  # of a pipeline's bound with all servers: one is emptied only if so much goes on
+KEPT_SHARE: Final = 0.5  # of a pipeline's bound with all servers; must remain available when a server is emptied
 
 
 @dataclass(frozen=True)
 class HoldOrder:
-    """What one engine should hold from now on."""
+    """The parts that one engine should hold from now on."""
 
     vm: VmId
     parts: tuple[Part, ...]
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """The orders of one round; if nothing moves any more, the servers that cannot be spared to change."""
+    """The orders of one round; if no engine is changing, also the servers that must change but cannot be spared."""
 
     orders: tuple[HoldOrder, ...]
     stuck: tuple[VmId, ...]
 
 
 class Planner:
-    """One round over all servers; loads begun in it count against the budget of the weight store at once."""
+    """One planning round over all servers; a load that it orders counts at once against the limit on parallel loads."""
 
     def __init__(
         self,
@@ -41,37 +41,37 @@
         unusable: Collection[VmId],
         silent: Collection[VmId],
     ) -> None:
-        """Begin a round.
+        """Start a round.
 
-        :param said: what each connected engine said last; engines that say nothing are left alone.
-        :param unusable: servers that leave or are down.
+        :param said: the last report of each connected engine; engines without a report get no orders.
+        :param unusable: servers that are leaving or down.
         :param silent: engines that have not answered an order in time.
         """
         self._configuration = configuration
         self._unusable = frozenset(unusable)
-        # one that was to be emptied first and never says so would keep all others of its range from being emptied:
-        # it comes last, and nothing is expected of it
+        # If an engine that never confirms an order came first, no other server of its range could be emptied.
+        # Unresponsive engines are therefore planned last, and their capacity is not counted on.
         self._silent = frozenset(silent)
         self._said = said
-        # what this round leaves on each server: to hold in the end, and ready now
+        # state of each server after this round: the parts to hold finally, and those that are ready now
         self._targets = {vm: holdings.target for vm, holdings in said.items()}
         self._held = {vm: frozenset(holdings.held) for vm, holdings in said.items()}
         self._budget = configuration.loads_at_once - sum(bool(holdings.loading) for holdings in said.values())
-        # how many servers have each part ready, and in any way
+        # number of servers that have each part ready, and that have it in any state
         self._holders = Counter(part for held in self._held.values() for part in held)
         self._ending = {part for holdings in said.values() for part in holdings.ending}
         self._places = Counter(part for holdings in said.values() for part in (*holdings.target, *holdings.ending))
-        # what the newest and the previous versions want of each server
+        # parts that the newest and the previous versions need on each server
         self._wanted = group_parts(configuration.pipelines)
         previous = [version for pipeline in configuration.pipelines for version in list_versions(pipeline)[1:]]
         self._previous = group_parts(version for version in previous if not self._is_replaced(version))
         self._previous_in_use = group_parts(version for version in previous if self._is_in_use(version))
         self._rates = self._sum_rates()
-        # of each pipeline: who carries nothing, what goes on before any server is emptied in this round, and what must
+        # for each pipeline: servers without capacity, capacity at the start of this round, and required capacity
         self._absent: dict[PipelineName, frozenset[VmId]] = {}
         self._carried: dict[PipelineName, float] = {}
         self._enough: dict[PipelineName, float] = {}
-        self._refused: set[frozenset[Part]] = set()  # what cannot be freed now on any server that serves the same
+        self._refused: set[frozenset[Part]] = set()  # sets of parts whose servers cannot be spared in this round
         self._stuck: list[VmId] = []
 
     def _sum_rates(self) -> Mapping[VmId, float]:
@@ -82,7 +82,7 @@
         return rates
 
     def make(self) -> Plan:
-        """Make the plan: servers that have room come first, and among them what the fewest hold."""
+        """Make the plan: servers with enough free memory come first, among them those whose parts are rarest."""
         servers = [server for server in self._configuration.servers if self._is_ordered(server.vm)]
         servers.sort(key=self._rank)
         orders = [order for server in servers for order in self._decide(server)]
@@ -99,12 +99,12 @@
         return (is_silent, not has_room, self._count_holders(server.vm), self._rates[server.vm], server.vm)
 
     def _count_holders(self, vm: VmId) -> int:
-        """Count the servers that hold what this one lacks."""
+        """Count the replicas of the rarest part that this server lacks."""
         lacking = self._wanted.get(vm, frozenset()) - self._held[vm]
         return min((self._holders[part] for part in lacking), default=len(self._held))
 
     def _decide(self, server: Server) -> Iterator[HoldOrder]:
-        """Decide on one server; an order is given only if it changes something."""
+        """Plan one server; yields an order only if the target changes."""
         target = self._targets[server.vm]
         chosen = self._choose_parts(server, target)
         if chosen != target:
@@ -113,9 +113,10 @@
             yield HoldOrder(server.vm, tuple(sorted(chosen, key=str)))
 
     def _choose_parts(self, server: Server, target: frozenset[Part]) -> frozenset[Part]:
-        """Choose what a server should hold; one without room is emptied first and loads in a later round.
+        """Choose the parts that a server should hold.
 
-        Sessions in progress may keep it from loading for long, and meanwhile it draws nothing from the weight store.
+        A server without enough memory is emptied first and loads in a later round.
+        Sessions in progress may delay the load for long, and until then the server reads nothing from the weight store.
         """
         wanted = self._wanted.get(server.vm, frozenset())
         kept = (target & wanted) | (target & self._previous.get(server.vm, frozenset()))
@@ -137,9 +138,9 @@
         return kept
 
     def _is_replaced(self, previous: Pipeline) -> bool:
-        """Tell whether every server that takes orders holds the version that came after, and it can run without others.
+        """Tell whether all servers that take orders hold the newest version, and it can run on the usable ones alone.
 
-        Servers that are out of sight of this node may go on with the version before for all other nodes.
+        Servers that this node cannot reach may still serve the previous version for all other nodes.
         """
         newest = next(pipeline for pipeline in self._configuration.pipelines if pipeline.name == previous.name)
         lacking = list_lacking(newest, self._held)
@@ -148,28 +149,28 @@
         return not lacking or compute_flow(newest, lacking | self._unusable).bound > 0
 
     def _is_in_use(self, previous: Pipeline) -> bool:
-        """Tell whether sessions go on with a version that servers do not offer any more."""
+        """Tell whether sessions in progress still use a version that some server no longer offers to new ones."""
         return any(make_part(previous, stage) in self._ending for stage in previous.stages)
 
     def _list_stranded(self, server: Server, target: frozenset[Part]) -> frozenset[Part]:
-        """List the parts that sessions in progress need and no server has any more, if this one has room for them."""
+        """List the parts that sessions in progress need and no server has any more, if they fit on this server."""
         gone = frozenset(part for part in self._previous_in_use.get(server.vm, frozenset()) if not self._places[part])
         if not gone or not self._fits(server, target | gone):
             return frozenset()
         return gone
 
     def _is_last(self, vm: VmId) -> bool:
-        """Tell whether sessions in progress have only this server for one of its parts."""
+        """Tell whether this server is the only one with some part that sessions in progress need."""
         parts = self._previous_in_use.get(vm, frozenset()) & self._targets[vm]
         return any(self._places[part] == 1 for part in parts)
 
     def _fits(self, server: Server, parts: frozenset[Part]) -> bool:
-        """Tell whether parts fit beside what the engine keeps for sessions in progress."""
+        """Tell whether parts fit in memory beside those that the engine keeps for sessions in progress."""
         ending = self._said[server.vm].ending
         return not server.memory or count_bytes(self._configuration, {*parts, *ending}) <= server.memory
 
     def _can_be_emptied(self, vm: VmId) -> bool:
-        """Tell whether enough goes on without this server, on any version."""
+        """Tell whether enough capacity remains without this server, over all versions."""
         if self._is_last(vm):
             return False
         parts = self._wanted[vm]
@@ -193,12 +194,15 @@
         return self._carry(pipeline, self._absent[pipeline.name] | {without}) >= least
 
     def _find_absent(self, pipeline: Pipeline) -> frozenset[VmId]:
-        """Find who carries nothing; silent ones only if something goes on without them, as they may serve others."""
+        """Find the servers whose capacity does not count.
+
+        Unresponsive servers are among them only if some capacity remains without them, as they may serve other nodes.
+        """
         absent = self._unusable | self._silent
         return absent if self._carry(pipeline, absent) else self._unusable
 
     def _carry(self, pipeline: Pipeline, without: frozenset[VmId]) -> float:
-        """Give what a pipeline can carry now, the sum over its versions, without some servers."""
+        """Compute the current capacity of a pipeline without some servers, summed over its versions."""
         return sum(
             compute_flow(version, list_lacking(version, self._held) | without).bound
             for version in list_versions(pipeline)
@@ -211,7 +215,7 @@
     unusable: Collection[VmId] = frozenset(),
     silent: Collection[VmId] = frozenset(),
 ) -> Plan:
-    """Plan what each engine should hold."""
+    """Plan which parts each engine should hold."""
     return Planner(configuration, said, unusable, silent).make()
 
 
--- a/packages/core/src/vaneturn_core/placing/versions.py
+++ b/packages/core/src/vaneturn_core/placing/versions.py
@@ -1,4 +1,4 @@
-"""Choice of the version that a new answer gets while a version is rolled out."""
+"""Choice of the model version for a new answer during a rollout."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 
 
 def choose_version(affinity: str, newest: str, bounds: Mapping[str, float]) -> str:
-    """Choose in proportion to what each version can carry.
+    """Choose the newest version with a probability equal to its share of the total throughput.
 
-    An affinity that gets the newest version keeps it while its share grows, so no session goes back and forth.
+    An affinity that gets the newest version keeps it while that version's share grows, so that no session switches
+    back and forth.
 
-    :param bounds: tokens a second of each version, the newest among them.
+    :param bounds: throughput bound of each version, including the newest, in tokens per second.
     """
     total = sum(bounds.values())
     if total <= 0:
--- a/tests/core/placing/test_plan.py
+++ b/tests/core/placing/test_plan.py
@@ -1,4 +1,4 @@
-"""No plan takes the last way through the layers, loads beyond the budget, or leaves a rollout unfinished."""
+"""No plan removes the last path through the layers, exceeds the limit on loads or leaves a rollout unfinished."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 class Engines:
-    """Engines that carry out orders; loads end, and sessions end, at random."""
+    """Engines that carry out orders; loads and sessions end at random."""
 
     def __init__(self, configuration: Configuration, rng: Random) -> None:
         self.rng = rng
@@ -89,7 +89,7 @@
 
 
 def settle(configuration: Configuration, engines: Engines, least: float = 0.0) -> int:
-    """Carry plans out until there is nothing to order, load or end; give the rounds that it took."""
+    """Carry out plans until nothing is left to order, load or end; return the number of rounds."""
     for number in range(MAX_ROUNDS):
         plan = plan_holdings(configuration, engines.said)
         for order in plan.orders:
@@ -119,7 +119,10 @@
 
 
 class FrozenEngines(Engines):
-    """Engines one of which answers nothing; for a while after an order to it, it may have taken that order."""
+    """Engines of which one never answers.
+
+    For some rounds after an order to it, the planner must assume that it took the order.
+    """
 
     PATIENCE = 10  # rounds
 
@@ -162,7 +165,7 @@
     wanted = group_parts(newer.pipelines)
     others = [vm for vm in vms if vm != engines.frozen]
     least = min(engines.carry(newer.pipelines[0]) / 2, 100.0) - 1e-6
-    is_spare = shape[1] > 2 or memory > 1  # else the only other one of its range is the last that serves
+    is_spare = shape[1] > 2 or memory > 1  # otherwise the only other server of the range is its last replica
     for _ in range(MAX_ROUNDS):
         for order in plan_holdings(newer, engines.said, silent=engines.silent).orders:
             engines.take(order)
@@ -175,7 +178,7 @@
 
 
 def test_silent_engines_of_a_whole_range_are_not_taken_for_lost() -> None:
-    """The ordering node alone may not hear them; nothing that they serve with is taken away from the others."""
+    """A range may be unresponsive only to the ordering node; the plan must keep enough capacity for the others."""
     configuration = make_configuration([6], 3, 1, 4)
     engines = Engines(configuration, Random(1))
     settle(configuration, engines)
@@ -205,9 +208,9 @@
 
 
 def test_version_that_only_unseen_servers_still_need_is_not_taken_from_the_others() -> None:
-    """The links of the ordering node to one range are down; its servers go on with the version before, for all others.
+    """The ordering node has lost its links to one range, whose servers still serve the previous version to others.
 
-    Taken for replaced, that version was ordered off the servers in sight: neither version had all its layers any more.
+    If that version counts as replaced, it is removed from the reachable servers and neither version has all its layers.
     """
     configuration = roll_out(make_configuration([6], 2, memory=2, loads=1))
     pipeline = configuration.pipelines[0]
