--- a/packages/core/src/vaneturn_core/routing/__init__.py
+++ b/packages/core/src/vaneturn_core/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on which backend servers an answer crosses."""
+"""Choice of the backend servers that run the layers of an answer."""
--- a/packages/core/src/vaneturn_core/routing/choice.py
+++ b/packages/core/src/vaneturn_core/routing/choice.py
@@ -1,4 +1,4 @@
-"""Choice of one route: in proportion to the flow, the same on every node with the same view."""
+"""Choice of a route: servers are chosen in proportion to the flow, identically on nodes with the same view."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from vaneturn_core.routing.flow import Flow
 from vaneturn_core.routing.hops import Hop, Route, find_reachable
 
-LATENCY_RATIO: Final = 2.0  # the second server is taken when the first is this many times slower
+LATENCY_RATIO: Final = 2.0  # the second server is chosen when the first is more than this many times slower
 _HASH_RANGE: Final = float(1 << 64)
 
 
 class LoadView(Protocol):
-    """What a node knows of the load of backend servers."""
+    """A node's view of the load of backend servers."""
 
     def is_full(self, vm: VmId) -> bool:
         """Tell whether the server's concurrency limit on this node is reached."""
 
     def estimate_latency(self, vm: VmId) -> float:
-        """Estimate the seconds to the reply of one step, link and queue included."""
+        """Estimate the seconds until the reply to one step, including link and queue."""
 
 
 def choose_route(flow: Flow, layers: int, affinity: str, load: LoadView, avoided: Collection[VmId]) -> Route | None:
-    """Choose a route that tiles all layers, or none when the usable servers cannot.
+    """Choose a route that tiles all layers; None when the usable servers do not cover them.
 
     :param affinity: requests with the same affinity prefer the same servers, so that prompt prefixes are reused.
     :param avoided: servers that this answer must not use.
@@ -53,17 +53,17 @@
     ranked = sorted(weights, key=lambda hop: _score(hop, weights[hop], affinity), reverse=True)
     free = [hop for hop in ranked if not load.is_full(hop.vm)] or ranked
     first, second = free[0], free[min(1, len(free) - 1)]
-    other = load.estimate_latency(second.vm)  # 0 when nothing is known: no reason to leave the first
+    other = load.estimate_latency(second.vm)  # 0 when unknown, which is no reason to leave the first
     return second if 0 < LATENCY_RATIO * other < load.estimate_latency(first.vm) else first
 
 
 def _score(hop: Hop, weight: float, affinity: str) -> float:
-    """Score a hop by weighted rendezvous hashing: it wins in proportion to its weight over all affinities."""
+    """Score a hop by weighted rendezvous hashing: over all affinities it wins in proportion to its weight."""
     return -weight / math.log(hash_to_unit(f"{affinity} {hop.vm} {hop.end}"))
 
 
 def hash_to_unit(text: str) -> float:
-    """Hash a text to a number between 0 and 1, evenly and alike on every node."""
+    """Hash a text to a number between 0 and 1, uniformly and with the same result on every node."""
     return (xxhash.xxh3_64_intdigest(text.encode()) + 0.5) / _HASH_RANGE
 
 
--- a/packages/core/src/vaneturn_core/routing/flow.py
+++ b/packages/core/src/vaneturn_core/routing/flow.py
@@ -1,4 +1,4 @@
-"""Throughput bound of a pipeline and the share of it that each hop carries."""
+"""Throughput bound of a pipeline and the share that each hop carries."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from vaneturn_core.identifiers import VmId
 from vaneturn_core.routing.hops import Hop, list_entries, make_hop
 
-MINIMUM_SHARE: Final = 0.01  # of a hop's rate: hops without flow stay usable when others fail
+MINIMUM_SHARE: Final = 0.01  # of a hop's rate, so that hops without flow stay usable when others fail
 
 _Range = tuple[int, int]
 _Vertex = tuple[str, int, int]
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class Flow:
-    """The bound in tokens a second, and a weight for each usable hop by the boundary it starts at."""
+    """The bound in tokens per second, and the weight of each usable hop, by the boundary where the hop starts."""
 
     bound: float
     hops: Mapping[int, Mapping[Hop, float]]
@@ -30,9 +30,10 @@
 def compute_flow(pipeline: Pipeline, unusable: Collection[VmId]) -> Flow:
     """Compute the maximum flow from the first layer to the last over the usable servers.
 
-    Servers of one range are one edge of the graph and share its flow by their rates, so the graph grows with the
-    ranges, not with the servers. Exact where ranges meet at their ends. A hop that enters a server inside its range
-    is counted at the rate of the whole range, so the bound is then low by at most the layers that it leaves out.
+    All servers with the same range form one edge and share its flow in proportion to their rates, so the graph grows
+    with the number of ranges, not servers. The bound is exact if ranges meet only at their ends. A hop that enters a
+    server inside its range is counted at the rate of the whole range, so the bound is too low by at most the share of
+    the skipped layers.
     """
     entries = [(stage, boundary) for stage, boundary in list_entries(pipeline) if stage.vm not in unusable]
     rates: defaultdict[_Range, float] = defaultdict(float)
@@ -55,7 +56,7 @@
 ) -> nx.DiGraph[Any]:
     """Build the graph of layer boundaries and ranges.
 
-    :param entries: a boundary, and the first and end layer of a range that may be entered there.
+    :param entries: triples of a boundary and the first and end layer of a range that may be entered there.
     """
     graph: nx.DiGraph[Any] = nx.DiGraph()
     graph.add_nodes_from([_boundary(0), _boundary(pipeline.layers)])
--- a/packages/core/src/vaneturn_core/routing/health.py
+++ b/packages/core/src/vaneturn_core/routing/health.py
@@ -1,4 +1,4 @@
-"""What this node has seen of each backend server."""
+"""Load, latency and failures of each backend server as observed by this node."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from vaneturn_core.identifiers import VmId
 
 FAILURES_TO_EJECT: Final = 3
-EJECTION: Final = 5.0  # seconds, doubled with each ejection in a row
-MAX_EJECTION: Final = 60.0
-MAX_EJECTED_SHARE: Final = 0.5  # of the servers; beyond it failures do not eject
+EJECTION: Final = 5.0  # seconds, doubled with each consecutive ejection
+MAX_EJECTION: Final = 60.0  # seconds
+MAX_EJECTED_SHARE: Final = 0.5  # of the servers; above this share, failures eject no further servers
 LATENCY_WEIGHT: Final = 0.2  # of the newest reply in the moving average
-BEST_DRIFT: Final = 1.001  # with each reply the best latency is forgotten by so much
+BEST_DRIFT: Final = 1.001  # factor by which the best latency grows with each reply, so that old values expire
 INITIAL_LIMIT: Final = 64
 MIN_LIMIT: Final = 4
 MAX_LIMIT: Final = 4096
-LATENCY_TOLERANCE: Final = 3.0  # replies slower than this many times the best halve the limit
-FORGETTING: Final = 5.0  # seconds without a reply in which half of a server's slowness is forgotten
-PROMPT_POSITIONS: Final = 16  # a step with at least so many tells the speed of prompts
+LATENCY_TOLERANCE: Final = 3.0  # above this ratio of average to best latency, each round of replies halves the limit
+FORGETTING: Final = 5.0  # seconds without a reply after which the excess over the best latency counts half
+PROMPT_POSITIONS: Final = 16  # a step with at least this many positions measures prompt speed
 TIMEOUT_RATIO: Final = 10.0  # of the step timeout to the average latency
-POSITION_TIMEOUT: Final = 0.004  # seconds more for each position of a step
+POSITION_TIMEOUT: Final = 0.004  # seconds added to the timeout for each position of a step
 
 
 class LeavingSource(Enum):
-    """Who said that a server is leaving; any one is enough."""
+    """Who reported that a server is leaving; one source is enough."""
 
     OPERATOR = "operator"
     VM_LIST = "vm_list"
@@ -37,28 +37,28 @@
 
 @dataclass
 class ServerHealth:
-    """Load, latency and failures of one server as seen from this node."""
+    """Load, latency and failures of one server as observed by this node."""
 
     in_progress: int = 0
-    latency: float = 0.0  # moving average of steps with one position, seconds
-    position_seconds: float = 0.0  # moving average for each position of a prompt
+    latency: float = 0.0  # moving average of steps with few positions (usually one), seconds
+    position_seconds: float = 0.0  # moving average per position of a prompt
     replied_at: float = 0.0
     best_latency: float = float("inf")
     limit: float = INITIAL_LIMIT
-    failures: int = 0  # in a row
-    failed_at: float = float("-inf")  # the last failure that counted
-    ejections: int = 0  # in a row
+    failures: int = 0  # consecutive
+    failed_at: float = float("-inf")  # time of the last failure with a known start
+    ejections: int = 0  # consecutive
     ejected_until: float = 0.0
-    rest_until: float = 0.0  # until when it asked for no new work
+    rest_until: float = 0.0  # end of the time for which the server asked for no new work
     leaving: set[LeavingSource] = field(default_factory=set)
 
     def compute_timeout(self, positions: int, shortest: float, longest: float) -> float:
-        """Compute how long to wait for the reply to a step; too short costs a rebuild, never a wrong answer."""
+        """Compute how long to wait for the reply to a step; too short a timeout costs a rebuild, not correctness."""
         expected = max(shortest, TIMEOUT_RATIO * self.latency)
         return min(longest, expected + positions * POSITION_TIMEOUT)
 
     def record_reply(self, latency: float, positions: int, now: float) -> None:
-        """Take a reply into the averages and adapt the concurrency limit."""
+        """Update the averages with a reply and adapt the concurrency limit."""
         self.failures = 0
         self.ejections = 0
         self.replied_at = now
@@ -78,7 +78,7 @@
 
 
 class ServerHealths:
-    """The health of all servers; decides which must not get new work."""
+    """The health of all servers, and which of them must not get new work."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
@@ -97,7 +97,7 @@
         return self[vm].in_progress >= self[vm].limit
 
     def estimate_latency(self, vm: VmId) -> float:
-        """Estimate the seconds to the reply of one step."""
+        """Estimate the seconds until the reply to one step."""
         health = self[vm]
         if not health.latency:
             return 0.0
@@ -106,14 +106,14 @@
         return health.latency - slowness * (1 - remembered)
 
     def record_reply(self, vm: VmId, latency: float, positions: int = 1) -> None:
-        """Take a reply of a server into its health."""
+        """Update a server's health with a reply."""
         self[vm].record_reply(latency, positions, self._clock())
 
     def record_failure(self, vm: VmId, begun: float | None = None) -> None:
-        """Count a lost or late reply; eject the server after several in a row, within the cap.
+        """Count a lost or late reply; eject the server after several consecutive ones, within the cap.
 
-        :param begun: when the step began, by the clock of this; one begun before the last failure is part of the same
-            event, as all steps on a connection that has ended.
+        :param begun: when the step began, by this object's clock. A step that began before the last failure is not
+            counted, since it belongs to the same event, such as a closed connection that fails all its steps.
         """
         health = self[vm]
         if begun is not None:
@@ -130,25 +130,25 @@
         health.ejections += 1
 
     def mark_leaving(self, vm: VmId, source: LeavingSource) -> None:
-        """Give the server no new work from now on."""
+        """Record that a source reports the server as leaving, so that it gets no new work."""
         if source in self[vm].leaving:
             return
         self[vm].leaving.add(source)
         self._notify()
 
     def unmark_leaving(self, vm: VmId, source: LeavingSource) -> None:
-        """Take back what one source said of a server."""
+        """Withdraw the report of one source about a server."""
         if source not in self[vm].leaving:
             return
         self[vm].leaving.discard(source)
         self._notify()
 
     def list_said_by(self, source: LeavingSource) -> frozenset[VmId]:
-        """List the servers that one source says are leaving."""
+        """List the servers that one source reports as leaving."""
         return frozenset(vm for vm, health in self._servers.items() if source in health.leaving)
 
     def replace_leaving(self, source: LeavingSource, vms: Iterable[VmId]) -> None:
-        """Replace all that one source says is leaving."""
+        """Replace the set of servers that one source reports as leaving."""
         now_leaving = set(vms)
         before = self.list_said_by(source)
         for vm in before - now_leaving:
@@ -159,19 +159,19 @@
             self._notify()
 
     def list_leaving(self) -> frozenset[VmId]:
-        """List the servers that must not get new work because they leave."""
+        """List the servers that must not get new work because they are leaving."""
         return frozenset(vm for vm, health in self._servers.items() if health.leaving)
 
     def take_rest(self, vm: VmId, seconds: float) -> None:
-        """Take note that a server wants no new work for a time; the latest end holds."""
+        """Record that a server asks for no new work for a time; of several requests the latest end applies."""
         self[vm].rest_until = max(self[vm].rest_until, self._clock() + seconds)
 
     def compute_rest(self, vm: VmId) -> float:
-        """Compute the seconds for which a server still wants no new work."""
+        """Compute the remaining seconds for which a server asks for no new work."""
         return max(0.0, self[vm].rest_until - self._clock())
 
     def list_ejected(self) -> frozenset[VmId]:
-        """List the servers that are ejected for their failures."""
+        """List the servers that are ejected because of failures."""
         return frozenset(vm for vm, health in self._servers.items() if self._is_ejected(health))
 
     def _is_ejected(self, health: ServerHealth) -> bool:
--- a/packages/core/src/vaneturn_core/routing/hops.py
+++ b/packages/core/src/vaneturn_core/routing/hops.py
@@ -18,12 +18,12 @@
     vm: VmId
     first: int
     end: int
-    rate: float = 0.0  # tokens a second the server can give at this range
+    rate: float = 0.0  # tokens per second of the server over these layers
 
 
 @dataclass(frozen=True)
 class Route:
-    """The hops of one answer, in the order of the layers."""
+    """The hops of one answer in layer order."""
 
     layers: int
     hops: tuple[Hop, ...]
@@ -36,7 +36,7 @@
 
 
 def list_entries(pipeline: Pipeline) -> Iterator[tuple[Stage, int]]:
-    """List each stage with each layer boundary at which it may be entered: any inside its range."""
+    """List each stage with each layer boundary at which it may be entered, including those inside its range."""
     boundaries = {0, *(stage.end for stage in pipeline.stages if stage.end < pipeline.layers)}
     for stage in pipeline.stages:
         yield from ((stage, boundary) for boundary in boundaries if stage.first <= boundary < stage.end)
@@ -45,14 +45,14 @@
 def make_hop(stage: Stage, boundary: int) -> Hop:
     """Make the hop from a boundary to the stage's end.
 
-    The time of a token grows with the layers that it runs, so a shorter hop has a higher rate.
+    The time per token grows with the number of layers, so a shorter hop has a higher rate.
     """
     rate = stage.rate * (stage.end - stage.first) / (stage.end - boundary)
     return Hop(stage.vm, boundary, stage.end, rate)
 
 
 def list_hops(pipeline: Pipeline) -> Mapping[int, Sequence[Hop]]:
-    """List the hops that may start at each layer boundary."""
+    """Map each layer boundary to the hops that may start there."""
     hops: dict[int, list[Hop]] = defaultdict(list)
     for stage, boundary in list_entries(pipeline):
         hops[boundary].append(make_hop(stage, boundary))
--- a/packages/core/src/vaneturn_core/routing/recovery.py
+++ b/packages/core/src/vaneturn_core/routing/recovery.py
@@ -1,4 +1,4 @@
-"""Choice of how a stage's KV cache comes to another server: imported from the old one or built again."""
+"""Choice of how a stage's KV cache is moved to another server: import from the old server or rebuild."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class LinkTable:
-    """Links between data halls, measured where a transfer has been seen and declared otherwise."""
+    """Links between data halls; measured bandwidth is used where known, the declared one otherwise."""
 
     def __init__(self) -> None:
         self._declared: dict[frozenset[DataHall], Link] = {}
@@ -34,7 +34,7 @@
         self._declared = {frozenset(link.halls): link for link in links}
 
     def record_transfer(self, first: DataHall, second: DataHall, size: int, seconds: float) -> None:
-        """Take the bandwidth of a finished transfer."""
+        """Record the bandwidth of a finished transfer."""
         self._measured[frozenset((first, second))] = size / max(seconds, 1e-6)
 
     def estimate_transfer(self, first: DataHall, second: DataHall, size: float) -> float:
@@ -48,30 +48,30 @@
 
 @dataclass(frozen=True)
 class Move:
-    """A cache that has to come to another server."""
+    """A cache that has to move to another server."""
 
     positions: int
     layers: int  # of the moved hop
-    cache_bytes: int  # for each position and layer
+    cache_bytes: int  # per position and layer
     old_hall: DataHall
     new_hall: DataHall
     node_hall: DataHall  # the cache passes through the node
 
 
 def estimate_import(move: Move, links: LinkTable) -> float:
-    """Estimate the seconds to export, carry and import the cache."""
+    """Estimate the seconds to export, transfer and import the cache."""
     size = float(move.positions * move.layers * move.cache_bytes)
     out = links.estimate_transfer(move.old_hall, move.node_hall, size)
     return out + links.estimate_transfer(move.node_hall, move.new_hall, size)
 
 
 def estimate_rebuild(positions: int, position_seconds: Sequence[float]) -> float:
-    """Estimate the seconds to run the positions again on each of the leading hops, one after the other."""
+    """Estimate the seconds to run the positions again on each of the leading hops, one after another."""
     return sum(positions * seconds for seconds in position_seconds)
 
 
 def choose_method(estimates: Mapping[Method, float]) -> Method:
-    """Choose the method that is expected to be done first."""
+    """Choose the method with the shortest estimate."""
     return min(estimates, key=lambda method: estimates[method])
 
 
--- a/tests/core/routing/test_health.py
+++ b/tests/core/routing/test_health.py
@@ -1,4 +1,4 @@
-"""Servers are ejected after failures within a cap, and their limits and timeouts follow what was seen."""
+"""Servers are ejected after failures, within a cap, and their concurrency limits follow the observed latency."""
 
 from __future__ import annotations
 
--- a/tests/core/routing/test_recovery.py
+++ b/tests/core/routing/test_recovery.py
@@ -1,4 +1,4 @@
-"""The way to move a cache is the one that is expected to be done first."""
+"""The method with the shortest estimate is chosen to move a cache."""
 
 from __future__ import annotations
 
--- a/tests/core/routing/test_routes.py
+++ b/tests/core/routing/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes tile the layers whatever the stages are."""
+"""Routes tile the layers for arbitrary stages."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class IdleLoad:
-    """No server is full, all are equally fast."""
+    """No server is full, and all latencies are unknown."""
 
     def is_full(self, _vm: VmId) -> bool:
         return False
@@ -44,7 +44,7 @@
 
 
 def can_cover(pipeline: Pipeline, avoided: Collection[VmId]) -> bool:
-    """Tell by a search of its own whether the stages reach from the first layer to the last."""
+    """Tell by an independent search whether the stages reach from the first layer to the last."""
     reached = {0}
     for _ in pipeline.stages:
         for stage in pipeline.stages:
@@ -97,7 +97,7 @@
 
 
 class UnevenLoad(IdleLoad):
-    """Latencies by server; 0 where nothing is known."""
+    """Latencies by server; 0 where unknown."""
 
     def __init__(self, latencies: dict[str, float]) -> None:
         self._latencies = latencies
