--- a/packages/core/src/vaneturn_core/membership/__init__.py
+++ b/packages/core/src/vaneturn_core/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of the nodes: who is believed alive."""
+"""Membership of the nodes and their known states."""
--- a/packages/core/src/vaneturn_core/membership/member.py
+++ b/packages/core/src/vaneturn_core/membership/member.py
@@ -1,4 +1,4 @@
-"""One node as the others know it."""
+"""State of one node as known to the others."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class MemberState(IntEnum):
-    """State of a node; at one incarnation the greater state wins."""
+    """State of a node; within one incarnation the greater value takes precedence."""
 
     ALIVE = 0
-    SUSPECT = 1  # did not answer, may still refute
-    DEAD = 2  # did not refute, or said that it stops
+    SUSPECT = 1  # did not answer a probe, may still refute
+    DEAD = 2  # did not refute in time, or reported that it stops
 
 
 class Member(Struct, frozen=True, array_like=True):
-    """What is told of a node; a greater incarnation, raised only by the node itself, overrides every state."""
+    """What nodes report of a node; a greater incarnation, raised only by the node itself, overrides every state."""
 
     node: NodeId
     vm: VmId
@@ -26,10 +26,10 @@
     data_hall: DataHall
     incarnation: int = 0
     state: MemberState = MemberState.ALIVE
-    is_stopping: bool = False  # it finishes what it has and takes no part in what the nodes share out
+    is_stopping: bool = False  # it finishes its requests and gets no share of the work that nodes divide
 
     def overrides(self, other: Member) -> bool:
-        """Tell whether this is newer than the other word on the same node."""
+        """Tell whether this report is newer than another one of the same node."""
         return (self.incarnation, self.state) > (other.incarnation, other.state)
 
 
--- a/packages/core/src/vaneturn_core/membership/table.py
+++ b/packages/core/src/vaneturn_core/membership/table.py
@@ -1,4 +1,4 @@
-"""The members that a node knows, merged from what all nodes tell (after SWIM, with suspicion)."""
+"""The members known to a node, merged from the reports of all nodes (the SWIM protocol with suspicion)."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from vaneturn_core.identifiers import NodeId
 from vaneturn_core.membership.member import Member, MemberState
 
-RETRANSMIT_FACTOR: Final = 3.0  # each change is told so many times the logarithm of the members
-SUSPICION_FACTOR: Final = 4.0  # seconds, times the decimal logarithm of the members and at least once
-REMEMBER_DEAD: Final = 7200.0  # seconds; regions that lost each other for an hour find each other again
+RETRANSMIT_FACTOR: Final = 3.0  # each change is sent this many times the binary logarithm of the member count
+SUSPICION_FACTOR: Final = 4.0  # seconds, times the greater of 1 and the decimal logarithm of the member count
+REMEMBER_DEAD: Final = 7200.0  # seconds; regions that were partitioned for an hour can still rejoin
 MAX_DEAD: Final = 256
 
 
 class MemberTable:
-    """Merges what is told of members and picks what to tell on and whom to probe."""
+    """Merges reports of members, and picks the changes to send and the members to probe."""
 
     def __init__(self, own: Member, rng: Random, clock: Callable[[], float]) -> None:
         self.own = own
@@ -28,16 +28,16 @@
         self._clock = clock
         self._members: dict[NodeId, Member] = {own.node: own}
         self._since: dict[NodeId, float] = {}  # when a member became suspect or dead
-        self._tellings: dict[NodeId, int] = {own.node: 0}  # changes still to tell, with how often they were told
+        self._tellings: dict[NodeId, int] = {own.node: 0}  # changes still to send, and how often each was sent
         self._probe_order: list[NodeId] = []
         self.listeners: list[Callable[[Member], None]] = []
 
     def list_alive(self) -> list[Member]:
-        """List the members that are not dead, this node among them."""
+        """List the members that are not dead, including this node."""
         return [member for member in self._members.values() if member.state is not MemberState.DEAD]
 
     def list_staying(self) -> list[Member]:
-        """List the members among whom work is shared out: alive and not stopping."""
+        """List the members that work is divided among: not dead and not stopping."""
         return [member for member in self.list_alive() if not member.is_stopping]
 
     def list_peers(self) -> list[Member]:
@@ -54,11 +54,11 @@
         return member if member is not None and member.state is not MemberState.DEAD else None
 
     def has_heard_of(self, node: NodeId) -> bool:
-        """Tell whether anything is known of a node, its death included."""
+        """Tell whether a node is known, even if only as dead."""
         return node in self._members
 
     def merge(self, told: Iterable[Member]) -> None:
-        """Take what another node told."""
+        """Merge the reports of another node."""
         for member in told:
             if member.node == self.own.node:
                 self._refute(member)
@@ -66,7 +66,7 @@
                 self._take(member)
 
     def _refute(self, told: Member) -> None:
-        """Answer a word of the own suspicion or death with a greater incarnation."""
+        """Refute a report that this node is suspect or dead with a greater incarnation."""
         if told.state is MemberState.ALIVE or told.incarnation < self.own.incarnation:
             return
         if self.own.state is MemberState.DEAD:
@@ -81,7 +81,7 @@
         if known is None or member.overrides(known):
             self._set(member)
         elif known.state is MemberState.DEAD and member.state is MemberState.ALIVE:
-            self._tellings[member.node] = 0  # it lives and must hear of its death to refute it
+            self._tellings[member.node] = 0  # the member is alive and must learn that it is reported dead to refute it
 
     def _set(self, member: Member) -> None:
         self._members[member.node] = member
@@ -100,7 +100,7 @@
             self._set(msgspec.structs.replace(known, state=MemberState.SUSPECT))
 
     def expire(self) -> None:
-        """Declare dead the suspects that did not refute in time, and forget those long dead."""
+        """Declare suspects dead that did not refute in time, and remove members that have been dead for long."""
         now = self._clock()
         patience = self.suspicion_time()
         for node, since in list(self._since.items()):
@@ -113,16 +113,16 @@
             self._forget(member.node)
 
     def suspicion_time(self) -> float:
-        """Give the seconds that a suspect has to refute."""
+        """Compute the seconds that a suspect has to refute."""
         return SUSPICION_FACTOR * max(1.0, math.log10(len(self.list_alive())))
 
     def retire(self) -> None:
-        """Tell the others that this node will stop, so that they share its part out."""
+        """Announce that this node will stop, so that the others take over its share of the work."""
         self.own = msgspec.structs.replace(self.own, incarnation=self.own.incarnation + 1, is_stopping=True)
         self._set(self.own)
 
     def stop(self) -> None:
-        """Tell the others that this node stops now, so that none has to suspect it."""
+        """Announce that this node stops now, so that the others need not suspect it first."""
         self.own = msgspec.structs.replace(self.own, state=MemberState.DEAD)
         self._set(self.own)
 
@@ -132,7 +132,7 @@
         self._tellings.pop(node, None)
 
     def pick_probe(self) -> Member | None:
-        """Pick the next member to probe: every one once in a random order, then anew."""
+        """Pick the next member to probe: each member once per round, in a new random order each round."""
         while self._probe_order:
             member = self.find(self._probe_order.pop())
             if member is not None and member.node != self.own.node:
@@ -150,7 +150,7 @@
         return self._rng.sample(others, min(count, len(others)))
 
     def take_tellings(self, limit: int) -> list[Member]:
-        """Take the changes to tell with the next message, the least told first."""
+        """Take the changes to send with the next message, those sent least often first."""
         most = math.ceil(RETRANSMIT_FACTOR * math.log2(len(self._members) + 1))
         chosen = sorted(self._tellings, key=lambda node: self._tellings[node])[:limit]
         for node in chosen:
@@ -160,8 +160,8 @@
         return [self._members[node] for node in chosen]
 
     def is_chosen(self, role: str, count: int) -> bool:
-        """Tell whether this node is among the chosen of a role in its data hall; nodes with one view agree."""
-        members = self.list_staying() or self.list_alive()  # the last nodes to stop still have their own part
+        """Tell whether this node has a role in its data hall; nodes with the same view agree."""
+        members = self.list_staying() or self.list_alive()  # if all nodes are stopping, they keep their roles
         hall = [member for member in members if member.data_hall == self.own.data_hall]
         ranked = sorted(hall, key=lambda member: xxhash.xxh3_64_intdigest(f"{role} {member.node}".encode()))
         return self.own.node in {member.node for member in ranked[:count]}
--- a/tests/core/membership/test_table.py
+++ b/tests/core/membership/test_table.py
@@ -1,4 +1,4 @@
-"""Members are merged alike in any order, and only a node itself overrides its own death."""
+"""The order of reports does not change the merged members, and only a node itself can refute its own death."""
 
 from __future__ import annotations
 
