--- a/packages/core/src/vaneturn_core/claims/__init__.py
+++ b/packages/core/src/vaneturn_core/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on requests that must run at most once."""
+"""Claims for requests that must run at most once."""
--- a/packages/core/src/vaneturn_core/claims/ledger.py
+++ b/packages/core/src/vaneturn_core/claims/ledger.py
@@ -1,7 +1,7 @@
-"""The memory of one slot's owner: which keys were claimed since it took the slot over.
+"""The in-memory ledger of a slot's owner: the keys claimed since it took over the slot.
 
-Nothing outlives the owner. A key carries the time of its making (UUID version 7), so a new owner can tell the keys
-that its predecessor may have taken: those made before the takeover. It takes younger ones only.
+The ledger is lost with its owner. A key contains its creation time (UUID version 7), so a new owner can tell which
+keys its predecessor may have accepted: those created before the takeover. It accepts only later ones.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 
 from vaneturn_core.identifiers import CustomerName, RepeatKey
 
-CLOCK_MARGIN: Final = 2.0  # seconds by which the clocks of callers and nodes may differ
-REMEMBERED: Final = 3600.0  # seconds that a key is remembered; older keys are not taken
-FORGET_EVERY: Final = 1024  # claims between two rounds of forgetting
+CLOCK_MARGIN: Final = 2.0  # seconds; greatest difference allowed between the clocks of callers and nodes
+REMEMBERED: Final = 3600.0  # seconds for which a key is kept; older keys are rejected
+FORGET_EVERY: Final = 1024  # claims between two removals of expired keys
 _TIME_SHIFT: Final = 80  # bits after the milliseconds in a UUID version 7
 
 
@@ -26,19 +26,19 @@
     """The owner's answer to a claim."""
 
     WON = "won"
-    CLAIMED = "claimed"  # it may have run
-    TOO_OLD = "too_old"  # made before the owner can vouch for it: it may have run
-    FROM_THE_FUTURE = "from_the_future"  # the caller's clock is ahead: not run
-    NOT_OWNER = "not_owner"  # not run here; the owner is another node or cannot be sure of itself
+    CLAIMED = "claimed"  # by another claim; the request may have run
+    TOO_OLD = "too_old"  # created before the period covered by the ledger; the request may have run
+    FROM_THE_FUTURE = "from_the_future"  # the caller's clock is ahead; not run
+    NOT_OWNER = "not_owner"  # not run here; another node owns the slot, or ownership could not be confirmed
 
 
 def read_key_time(repeat_key: RepeatKey) -> float | None:
-    """Read when a key was made, in seconds since the epoch; none for a key that is not a UUID version 7."""
+    """Read the creation time of a key in seconds since the epoch; None for a key that is not a UUID version 7."""
     try:
         key = uuid.UUID(repeat_key)
     except ValueError:
         return None
-    return (key.int >> _TIME_SHIFT) / 1000 if key.version == 7 else None  # noqa: PLR2004 # the version with a time
+    return (key.int >> _TIME_SHIFT) / 1000 if key.version == 7 else None  # noqa: PLR2004 # the version with a timestamp
 
 
 class LedgerEntry(Struct, frozen=True, array_like=True):
@@ -53,15 +53,15 @@
 class SlotLedger:
     """The claims of one slot."""
 
-    taken_at: float  # seconds since the epoch; the slot was taken over for good at this time
+    taken_at: float  # seconds since the epoch at which the takeover of the slot was final
     _claims: dict[tuple[CustomerName, RepeatKey], str] = field(default_factory=dict)
     _since_forgetting: int = 0
 
     def claim(self, customer: CustomerName, repeat_key: RepeatKey, claim: str, made_at: float, now: float) -> Verdict:
-        """Take a claim or say why not; a repeat with the same id gets the same answer.
+        """Accept a claim or give the reason for rejecting it; a repeat with the same claim id gets the same verdict.
 
-        :param made_at: when the key was made.
-        :param now: seconds since the epoch, read before the owner made sure that it still owns the slot.
+        :param made_at: creation time of the key, in seconds since the epoch.
+        :param now: seconds since the epoch, read before the owner confirmed that it still owns the slot.
         """
         if made_at > now + CLOCK_MARGIN:
             return Verdict.FROM_THE_FUTURE
@@ -74,7 +74,7 @@
         return Verdict.WON if holder == claim else Verdict.CLAIMED
 
     def release(self, customer: CustomerName, repeat_key: RepeatKey, claim: str) -> None:
-        """Forget a claim whose request was not run."""
+        """Remove a claim whose request was not run."""
         if self._claims.get((customer, repeat_key)) == claim:
             del self._claims[customer, repeat_key]
 
@@ -83,7 +83,7 @@
         return [LedgerEntry(customer, key, claim) for (customer, key), claim in self._claims.items()]
 
     def take_over(self, taken_at: float, entries: Iterable[LedgerEntry]) -> None:
-        """Go on where an owner stopped that has given all its claims and takes none any more."""
+        """Continue the ledger of a previous owner that has handed over all its claims and accepts no more."""
         self.taken_at = min(self.taken_at, taken_at)
         for entry in entries:
             self._claims.setdefault((entry.customer, entry.repeat_key), entry.claim)
--- a/packages/core/src/vaneturn_core/claims/slots.py
+++ b/packages/core/src/vaneturn_core/claims/slots.py
@@ -1,4 +1,4 @@
-"""Slots of repeat keys and the nodes that own them."""
+"""Assignment of repeat keys to slots, and of slots to owner nodes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from vaneturn_core.membership.member import Member, MemberState
 
 SLOTS: Final = 64
-OWNERS: Final = 16  # nodes that own slots; the calls on the key-value service grow with them, not with the fleet
+OWNERS: Final = 16  # nodes that own slots; a fixed number, so that key-value calls do not grow with the fleet
 SLOTS_KEY: Final = "vaneturn/slots"
 
 
@@ -21,18 +21,18 @@
     """A node that owns slots."""
 
     node: NodeId
-    address: str  # for requests of peers
+    address: str  # for requests from peers
 
 
 class SlotMap(Struct, frozen=True):
-    """Who owns which slot; the epoch grows by one with each change."""
+    """The owner of each slot; the epoch increases by one with each change."""
 
     epoch: int = 0
     owners: tuple[SlotOwner, ...] = ()
-    slots: tuple[int, ...] = ()  # for each slot the index of its owner; empty before the first assignment
+    slots: tuple[int, ...] = ()  # owner index of each slot; empty before the first assignment
 
     def find_owner(self, slot: int) -> SlotOwner | None:
-        """Find the owner of a slot; none before the first assignment."""
+        """Find the owner of a slot; None before the first assignment."""
         return self.owners[self.slots[slot]] if self.slots else None
 
     def list_slots(self, node: NodeId) -> frozenset[int]:
@@ -51,11 +51,11 @@
 
 
 def reassign_slots(present: SlotMap, members: Sequence[Member], unmet: Collection[NodeId] = ()) -> SlotMap | None:
-    """Give the slots of owners that are gone to others; none when nothing has to change.
+    """Reassign the slots of owners that are gone; None when nothing has to change.
 
-    A slot that moves cannot take keys made before the move, so no slot moves without need.
+    After a move a slot rejects all keys created before it, so slots move only when necessary.
 
-    :param unmet: owners that may live, though the one that assigns has not met them.
+    :param unmet: owners that may be alive although the assigning node has had no contact with them.
     """
     alive = {member.node: member for member in members if member.state is not MemberState.DEAD}
     staying = [owner for owner in present.owners if owner.node in alive or owner.node in unmet]
@@ -76,7 +76,7 @@
 
 
 def _fill(kept: Sequence[int | None], owners: int) -> tuple[int, ...]:
-    """Give each slot without an owner to the one with the fewest."""
+    """Assign each slot without an owner to the owner with the fewest slots."""
     loads = Counter(dict.fromkeys(range(owners), 0))
     loads.update(index for index in kept if index is not None)
     filled: list[int] = []
--- a/tests/core/claims/test_claims.py
+++ b/tests/core/claims/test_claims.py
@@ -1,4 +1,4 @@
-"""Slots keep their owners, and an owner takes only keys that its predecessor cannot have taken."""
+"""Slots keep their owners, and an owner accepts only keys that its predecessor cannot have accepted."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 @given(st.floats(0, 100), st.floats(0, 100), st.floats(-CLOCK_MARGIN, CLOCK_MARGIN))
 def test_key_is_never_won_at_two_owners_in_turn(taken: float, served: float, skew: float) -> None:
-    """The first owner serves until the second takes over; the key's clock is off by less than the margin."""
+    """The first owner serves until the second takes over; the clock skew of the key is within the margin."""
     base = 1e9
     first, second = SlotLedger(taken_at=base), SlotLedger(taken_at=base + taken + served)
     claimed_at = base + taken
