--- a/packages/core/src/vaneturn_core/limits/__init__.py
+++ b/packages/core/src/vaneturn_core/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on how much work is taken in, and in which order."""
+"""Limits on admitted work and the order in which it is admitted."""
--- a/packages/core/src/vaneturn_core/limits/fairqueue.py
+++ b/packages/core/src/vaneturn_core/limits/fairqueue.py
@@ -1,4 +1,4 @@
-"""Start-time fair queueing: waiting work is taken in proportion to the weight of its flow."""
+"""Start-time fair queueing: waiting work is served in proportion to the weight of its flow."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(order=True)
 class Place(Generic[T]):
-    """A place in the queue; the smaller start tag is served first."""
+    """An entry of the queue; the smallest start tag is served first."""
 
     start: float
     number: int
@@ -20,24 +20,24 @@
 
 
 class FairQueue(Generic[T]):
-    """A queue over flows; a flow that has waited little is not held back by one that asks much."""
+    """A queue over flows; a flow with little work is not delayed by the backlog of another."""
 
     def __init__(self) -> None:
         self._places: list[Place[T]] = []
         self._numbers = itertools.count()
         self._virtual_time = 0.0
-        self._finish: dict[str, float] = {}  # tags of flows that are ahead of the virtual time
+        self._finish: dict[str, float] = {}  # finish tag of the newest entry of each flow
 
     def __len__(self) -> int:
         return len(self._places)
 
     def count_ahead(self, flow: str) -> int:
-        """Count the work that would be served before new work of a flow."""
+        """Count the entries that would be served before new work of a flow."""
         start = max(self._virtual_time, self._finish.get(flow, 0.0))
         return bisect.bisect_right(self._places, start, key=lambda place: place.start)
 
     def push(self, flow: str, weight: float, item: T) -> Place[T]:
-        """Add work of a flow."""
+        """Add work to a flow."""
         start = max(self._virtual_time, self._finish.get(flow, 0.0))
         self._finish[flow] = start + 1 / weight
         place = Place(start, next(self._numbers), item)
@@ -45,7 +45,7 @@
         return place
 
     def pop(self) -> T:
-        """Take the work that is next; the queue must not be empty."""
+        """Remove and return the next work; the queue must not be empty."""
         place = self._places.pop(0)
         self._virtual_time = max(self._virtual_time, place.start)
         if not self._places:
@@ -53,7 +53,7 @@
         return place.item
 
     def remove(self, place: Place[T]) -> bool:
-        """Take back work that no longer waits; false when it was popped already."""
+        """Remove work that no longer waits; False if it was already popped."""
         index = bisect.bisect_left(self._places, place)
         if index >= len(self._places) or self._places[index] is not place:
             return False
--- a/packages/core/src/vaneturn_core/limits/retrybudget.py
+++ b/packages/core/src/vaneturn_core/limits/retrybudget.py
@@ -1,15 +1,15 @@
-"""A budget of retries as a share of first tries, so that retries cannot multiply an overload."""
+"""Retry budget: limits retries to a share of first tries, so that retries do not amplify an overload."""
 
 from __future__ import annotations
 
 from typing import Final
 
-SHARE: Final = 0.1  # of a retry for each first try
-RESERVE: Final = 10.0  # retries that are always saved up to
+SHARE: Final = 0.1  # retries earned by each first try
+RESERVE: Final = 10.0  # retries available at the start, and the most that can be saved
 
 
 class RetryBudget:
-    """Earned by first tries, spent by retries."""
+    """A budget that first tries fill and retries use up."""
 
     def __init__(self) -> None:
         self._saved = RESERVE
@@ -19,7 +19,7 @@
         self._saved = min(RESERVE, self._saved + SHARE)
 
     def spend(self) -> bool:
-        """Take a retry from the budget; false when it is used up."""
+        """Take a retry from the budget; False if it is used up."""
         if self._saved < 1:
             return False
         self._saved -= 1
--- a/tests/core/limits/test_limits.py
+++ b/tests/core/limits/test_limits.py
@@ -1,4 +1,4 @@
-"""Fair order, retry budgets and concurrency limits."""
+"""Fair queueing, retry budgets and concurrency limits."""
 
 from __future__ import annotations
 
