--- a/packages/core/src/vaneturn_core/engine/__init__.py
+++ b/packages/core/src/vaneturn_core/engine/__init__.py
@@ -1,1 +1,1 @@
-"""The protocol of model engines."""
+"""The protocol between nodes and model engines."""
--- a/packages/core/src/vaneturn_core/engine/messages.py
+++ b/packages/core/src/vaneturn_core/engine/messages.py
@@ -1,7 +1,7 @@
-"""Messages of the engine's stage link: MessagePack lists of tagged maps over one WebSocket.
+"""Messages of the engine's stage link: MessagePack lists of tagged arrays over one WebSocket.
 
-An engine runs steps of many sessions at once. Its replies carry everything that names the step, so that a late,
-crossed or doubled reply can be told from the one that is awaited.
+An engine runs steps of many sessions at once. Its replies carry all fields that identify the step, so that a late,
+mismatched or duplicate reply can be distinguished from the expected one.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Open(Struct, frozen=True, tag="open", array_like=True):
-    """Prepare the session's KV cache for a range of layers; a repeat with the same content changes nothing."""
+    """Prepare the session's KV cache for a range of layers; idempotent for the same content."""
 
     session: SessionId
     attempt: int
@@ -35,37 +35,38 @@
 class Step(Struct, frozen=True, tag="step", array_like=True):
     """Run the layers over the positions [position, position + count).
 
-    Positions must follow those that the stage holds. A repeat of the newest step gets the stored reply. A rebuild
-    step may cover positions already held: the stage recomputes their output and leaves its cache unchanged.
+    The positions must directly follow those in the stage's cache. A repeat of the newest step gets the stored reply.
+    A rebuild step may cover positions already in the cache: the stage recomputes their output and leaves its cache
+    unchanged.
     """
 
     session: SessionId
     attempt: int
     position: int
     count: int
-    inputs: bytes  # the first stage: count 4-byte tokens; later stages: the activations of the stage before
-    seed: int  # of the sampling, used by the last stage
+    inputs: bytes  # first stage: count 4-byte tokens; later stages: activations of the previous stage
+    seed: int  # for sampling, used by the last stage
     rebuild: bool = False
 
 
 class Close(Struct, frozen=True, tag="close", array_like=True):
-    """Forget the session, running steps included."""
+    """Discard the session, including its running steps."""
 
     session: SessionId
 
 
 class Hold(Struct, frozen=True, tag="hold", array_like=True):
-    """Hold exactly these parts; a repeat changes nothing. Answered by Holdings, whether it was taken or not.
+    """Hold exactly these parts; idempotent. The engine replies with Holdings, whether or not it accepted the order.
 
-    What sessions in progress use stays until the last of them ends, closed to new ones.
+    Other parts that sessions in progress use are kept until the last of these ends, and get no new sessions.
     """
 
-    fence: int  # of the placer that orders; an engine that checks takes none older than the newest it saw
+    fence: int  # of the ordering placer; engines that check fences reject orders older than the newest they have seen
     parts: tuple[Part, ...]
 
 
 class Done(Struct, frozen=True, tag="done", array_like=True):
-    """The layers ran once over the positions."""
+    """The engine ran the layers once over the positions."""
 
     session: SessionId
     attempt: int
@@ -74,22 +75,22 @@
     first: int
     end: int
     outputs: bytes  # activations; empty on the last stage
-    token: int | None  # the last stage: the token at position + count
-    text: str  # the last stage: the text of the token
-    last: bool  # the last stage: the answer ends with this token
-    queued: int  # steps that wait at the server
+    token: int | None  # last stage: the token at position + count
+    text: str  # last stage: the text of the token
+    last: bool  # last stage: whether the answer ends with this token
+    queued: int  # steps waiting at the server
     rebuild: bool = False
 
 
 class Refusal(Enum):
     """Why an engine did not run a step."""
 
-    NO_SESSION = "no_session"  # the cache was evicted or never built
+    NO_SESSION = "no_session"  # the cache was evicted or never created
     POSITION = "position"  # not the next position
-    ATTEMPT = "attempt"  # an older attempt of the session
+    ATTEMPT = "attempt"  # the step belongs to an older attempt of the session
     NOT_HELD = "not_held"  # the layers, version or adapter are not loaded
     OVERLOAD = "overload"
-    LEAVING = "leaving"  # accepts no new session
+    LEAVING = "leaving"  # accepts no new sessions
 
 
 class Refused(Struct, frozen=True, tag="refused", array_like=True):
@@ -104,7 +105,7 @@
 
 
 class Leaving(Struct, frozen=True, tag="leaving", array_like=True):
-    """The server will stop: no new session, and sessions in progress should move."""
+    """The server will stop: it accepts no new sessions, and sessions in progress should move."""
 
     deadline: float  # seconds from now
 
--- a/packages/core/src/vaneturn_core/engine/tokens.py
+++ b/packages/core/src/vaneturn_core/engine/tokens.py
@@ -6,7 +6,7 @@
 
 
 def encode_prompt(text: str) -> bytes:
-    """Encode a prompt as tokens of four UTF-8 bytes each, the last one padded with zeros."""
+    """Encode a prompt as tokens of four UTF-8 bytes each; the last one is padded with zeros."""
     data = text.encode()
     return data + bytes(-len(data) % TOKEN_BYTES)
 
