--- a/packages/core/src/vaneturn_core/configuration/__init__.py
+++ b/packages/core/src/vaneturn_core/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' declarations: schema, cross-checks and encoding."""
+"""The configuration that operators declare: schema, cross-checks and encoding."""
--- a/packages/core/src/vaneturn_core/configuration/check.py
+++ b/packages/core/src/vaneturn_core/configuration/check.py
@@ -1,4 +1,4 @@
-"""Cross-checks of a configuration that its schema cannot express."""
+"""Cross-checks of a configuration that the schema cannot express."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def check_configuration(configuration: Configuration) -> list[Fault]:
-    """List every fault, each with its path in the document."""
+    """List all faults with their paths in the document."""
     return [
         *_check_unique("servers", (server.vm for server in configuration.servers)),
         *_check_unique("pipelines", (pipeline.name for pipeline in configuration.pipelines)),
--- a/packages/core/src/vaneturn_core/configuration/document.py
+++ b/packages/core/src/vaneturn_core/configuration/document.py
@@ -11,12 +11,12 @@
 from vaneturn_core.faults import Fault, describe_decode_error
 from vaneturn_core.identifiers import ChangeId, Revision
 
-KEPT_CHANGES: Final = 256  # at 1,100 changes a day this covers five hours
+KEPT_CHANGES: Final = 256  # covers five hours at 1,100 changes per day
 CONFIGURATION_KEY: Final = "vaneturn/configuration"
 
 
 def decode_configuration(data: bytes) -> Configuration | Fault:
-    """Decode and check the types of a document."""
+    """Decode a document and check it against the schema."""
     try:
         return msgspec.json.decode(data, type=Configuration)
     except msgspec.DecodeError as error:
@@ -24,33 +24,33 @@
 
 
 def encode_configuration(configuration: Configuration) -> bytes:
-    """Encode a document as it is held in the key-value service."""
+    """Encode a document as it is stored in the key-value service."""
     return msgspec.json.encode(configuration)
 
 
 def digest_configuration(data: bytes) -> str:
-    """Name the content of an encoded document."""
+    """Compute the digest of an encoded document."""
     return xxhash.xxh3_128_hexdigest(data)
 
 
 def describe_schema() -> dict[str, Any]:
-    """Give the JSON Schema of the document."""
+    """Return the JSON Schema of the document."""
     return msgspec.json.schema(Configuration)
 
 
 def record_change(declared: Configuration, newest: Configuration, change: Change) -> Configuration:
-    """Make the document that follows the newest one; the revision and the changes are not the operator's to set."""
+    """Make the next document; its revision and changes are derived from the newest one, not from the declaration."""
     kept = (*newest.changes, change)[-KEPT_CHANGES:]
     return msgspec.structs.replace(declared, revision=change.revision, changes=kept)
 
 
 def next_revision(*known: Revision) -> Revision:
-    """Give the revision after every known one."""
+    """Return the revision that follows the highest known one."""
     return Revision(max(known, default=0) + 1)
 
 
 def find_change(configuration: Configuration, change: ChangeId) -> Change | None:
-    """Find an accepted change by its id."""
+    """Find an accepted change by its id; None if it is not in the document."""
     return next((entry for entry in configuration.changes if entry.id == change), None)
 
 
--- a/packages/core/src/vaneturn_core/configuration/schema.py
+++ b/packages/core/src/vaneturn_core/configuration/schema.py
@@ -35,8 +35,8 @@
 class ClaimMode(Enum):
     """How requests that must run at most once are claimed."""
 
-    BY_KEY = "by_key"  # a compare-and-swap in the key-value service for each request
-    BY_SLOT = "by_slot"  # the owner of the key's slot, a node; keys must be UUIDs of version 7
+    BY_KEY = "by_key"  # with a compare-and-swap in the key-value service for each request
+    BY_SLOT = "by_slot"  # at the node that owns the key's slot; keys must be UUIDs of version 7
 
 
 class Server(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
@@ -47,7 +47,7 @@
     data_hall: DataHall
     accelerator: str = ""
     checks_fence: bool = False  # whether it rejects orders with an older fencing number
-    memory: Annotated[int, Meta(ge=0)] = 0  # bytes for weights; 0: never short
+    memory: Annotated[int, Meta(ge=0)] = 0  # bytes for weights; 0 means unlimited
 
 
 class Stage(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
@@ -56,7 +56,7 @@
     vm: VmId
     first: Annotated[int, Meta(ge=0)]
     end: Count
-    rate: Rate  # tokens a second over the whole range
+    rate: Rate  # tokens per second over the whole range
 
 
 class Pipeline(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
@@ -65,14 +65,14 @@
     name: PipelineName
     model: Name
     version: Name
-    previous_version: Name | None = None  # serves on until every server has the version
+    previous_version: Name | None = None  # keeps serving until all servers have the new version
     adapter: Name | None = None
     layers: Count
     layer_bytes: Annotated[int, Meta(ge=0)] = 0  # weights of one layer
     stages: tuple[Stage, ...]
     preference: Preference = Preference.THROUGHPUT
-    token_time: Rate = 0.058  # seconds wanted between tokens
-    cache_bytes: Count = 4096  # of the KV cache, for each position and layer
+    token_time: Rate = 0.058  # target seconds between tokens
+    cache_bytes: Count = 4096  # of the KV cache, per position and layer
 
 
 class Service(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
@@ -80,7 +80,7 @@
 
     name: ServiceName
     servers: Annotated[tuple[VmId, ...], Meta(min_length=1)]
-    repeatable_methods: tuple[str, ...] = ("GET", "HEAD")  # the others need an Idempotency-Key
+    repeatable_methods: tuple[str, ...] = ("GET", "HEAD")  # requests with other methods need an Idempotency-Key
 
 
 class WorkClass(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
@@ -98,7 +98,7 @@
     name: CustomerName
     key_sha256: Annotated[str, Meta(pattern="^[0-9a-f]{64}$")]  # of the bearer key, which is not stored
     work_class: ClassName
-    max_in_progress: Count = 64  # on one node
+    max_in_progress: Count = 64  # requests on one node
 
 
 class Link(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
@@ -106,7 +106,7 @@
 
     halls: tuple[DataHall, DataHall]
     latency: Annotated[float, Meta(ge=0)]  # seconds, one way
-    bandwidth: Rate  # bytes a second
+    bandwidth: Rate  # bytes per second
 
 
 class Change(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
@@ -132,7 +132,7 @@
     links: tuple[Link, ...] = ()
     draining: tuple[VmId, ...] = ()
     loads_at_once: Count = 4  # engines that may load from the weight store at a time
-    claims: ClaimMode = ClaimMode.BY_KEY  # once by slot, it stays so: the slots' memory is not in the store
+    claims: ClaimMode = ClaimMode.BY_KEY  # BY_SLOT cannot be reverted, since claims by slot are not in the store
 
 
 __all__ = [
