--- a/packages/core/src/vaneturn_core/tiling.py
+++ b/packages/core/src/vaneturn_core/tiling.py
@@ -1,4 +1,4 @@
-"""The invariant of every path of a token: each layer once, and in order."""
+"""The invariant of every route: a token passes each layer exactly once, in order."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
     @property
     def first(self) -> int:
-        """Give the first layer."""
+        """The first layer."""
 
     @property
     def end(self) -> int:
-        """Give the layer after the last one."""
+        """The layer after the last one."""
 
 
 def assert_tiling(ranges: Sequence[Range], layers: int) -> None:
-    """Stop the process on a gap, an overlap or a missing layer.
+    """Check that the ranges cover all layers in order, without a gap or overlap.
 
-    :raises AssertionError: the invariant is broken.
+    :raises AssertionError: the ranges violate the invariant; this stops the process.
     """
     boundary = 0
     for one in ranges:
         if one.first != boundary or one.end <= one.first:
-            raise AssertionError(f"layers break at {boundary}: {ranges}")
+            raise AssertionError(f"layer ranges have a gap or overlap at {boundary}: {ranges}")
         boundary = one.end
     if boundary != layers:
-        raise AssertionError(f"layers end at {boundary} of {layers}: {ranges}")
+        raise AssertionError(f"layer ranges end at {boundary} instead of {layers}: {ranges}")
 
 
 __all__ = ["Range", "assert_tiling"]
