--- a/packages/core/src/vaneturn_core/__init__.py
+++ b/packages/core/src/vaneturn_core/__init__.py
@@ -1,1 +1,1 @@
-"""Domain types, configuration schema and decisions; imports no HTTP, ZeroMQ or Prometheus."""
+"""Domain types, configuration schema and decision logic; does not import HTTP, ZeroMQ or Prometheus libraries."""
--- a/packages/core/src/vaneturn_core/faults.py
+++ b/packages/core/src/vaneturn_core/faults.py
@@ -1,4 +1,4 @@
-"""The one shape in which a rejected document is reported."""
+"""Errors in rejected documents, all reported in the same format."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 class Fault:
     """A place in a document and what was expected there."""
 
-    path: str  # as in $.customers[2].name
+    path: str  # for example $.customers[2].name
     expected: str
 
     def __str__(self) -> str:
@@ -23,7 +23,7 @@
 
 
 def describe_decode_error(error: msgspec.DecodeError) -> Fault:
-    """Split the decoder's message into the place and the expectation."""
+    """Split the decoder's message into the path and the expectation."""
     text = str(error)
     match = _AT.search(text)
     if match is None:
--- a/packages/core/src/vaneturn_core/operators.py
+++ b/packages/core/src/vaneturn_core/operators.py
@@ -1,4 +1,4 @@
-"""Messages of the operators' interface of a node."""
+"""Messages of a node's operator interface."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class ChangeStatus(Enum):
-    """What became of a change."""
+    """Status of a configuration change."""
 
     APPLIED = "applied"
-    REJECTED = "rejected"  # the declarations have faults
-    OVERTAKEN = "overtaken"  # another change came first
+    REJECTED = "rejected"  # the declared configuration has faults
+    OVERTAKEN = "overtaken"  # another change was applied first
     NOT_ACCEPTED = "not_accepted"  # the key-value service could not be read
-    UNSETTLED = "unsettled"  # not known yet
-    UNKNOWN = "unknown"  # no change with this id is remembered
+    UNSETTLED = "unsettled"  # the result is not known yet
+    UNKNOWN = "unknown"  # no change with this id is kept
 
 
 class ProposalBody(Struct, forbid_unknown_fields=True, frozen=True):
-    """A change as the command line sends it."""
+    """A configuration change as sent by the command line."""
 
     id: Annotated[ChangeId, Meta(min_length=8)]
     summary: str
@@ -32,16 +32,16 @@
 
 
 class ChangeAnswer(Struct, frozen=True, omit_defaults=True):
-    """What became of a change."""
+    """The result of a configuration change."""
 
     result: ChangeStatus
-    change: Change | None = None  # the change itself, or the one that came first
+    change: Change | None = None  # the change itself, or the one that was applied first
     faults: tuple[str, ...] = ()
     cause: str = ""
 
 
 class ServerState(Struct, frozen=True):
-    """A backend server as this node sees it."""
+    """State of a backend server as known to this node."""
 
     vm: VmId
     connected: bool
@@ -50,9 +50,9 @@
     limit: float
     ejected: bool
     leaving: list[str]
-    held: list[str] = []  # parts of models that are ready
+    held: list[str] = []  # model parts that are ready
     loading: list[str] = []
-    ending: list[str] = []  # kept for the sessions on them
+    ending: list[str] = []  # kept only until the sessions that use them end
 
 
 class SessionState(Struct, frozen=True):
@@ -66,7 +66,7 @@
 
 
 class NodeState(Struct, frozen=True):
-    """What a node answers to an operator's query."""
+    """A node's answer to an operator's state query."""
 
     node: NodeId
     vm: VmId
@@ -77,11 +77,11 @@
     servers: list[ServerState]
     sessions: list[SessionState]
     bounds: dict[PipelineName, float]
-    fence: int = 0  # of its orders to engines; 0 on a node that gives none
+    fence: int = 0  # of its orders to engines; 0 on a node that sends none
 
 
 class EndedRequest(Struct, frozen=True):
-    """What became of a request."""
+    """Result of an ended request."""
 
     request: RequestId
     customer: CustomerName
--- a/packages/core/src/vaneturn_core/outcomes.py
+++ b/packages/core/src/vaneturn_core/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of work handed to a backend server: values, never exceptions."""
+"""Outcomes of work sent to a backend server; returned as values, never raised as exceptions."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
     status: int
     content_type: str
     body: bytes
-    retry_after: str | None = None  # as the server said it
+    retry_after: str | None = None  # header value as sent by the server
 
 
 @dataclass(frozen=True)
 class NotRun:
-    """No byte of the work left for a server, or the server itself said that it did not run it."""
+    """No byte of the work was sent to a server, or the server replied that it did not run it."""
 
     reason: Reason
     retry_after: float = 1.0  # seconds
--- a/packages/core/src/vaneturn_core/ports.py
+++ b/packages/core/src/vaneturn_core/ports.py
@@ -1,4 +1,4 @@
-"""Interfaces to the platform; adapters live in the packages that use them."""
+"""Interfaces to the platform; the adapters are in the packages that use them."""
 
 from __future__ import annotations
 
@@ -25,26 +25,26 @@
 
 @dataclass(frozen=True)
 class Unavailable:
-    """No answer came; a write may have taken effect all the same."""
+    """No answer arrived; a write may still have taken effect."""
 
     cause: str
 
 
 class KeyValueService(Protocol):
-    """The platform's key-value service. Each call counts against its rate, a waiting watch as one."""
+    """The platform's key-value service. Each call counts against its rate limit; a waiting watch counts as one call."""
 
     async def read(self, key: str) -> Entry | Unavailable:
         """Read a key."""
 
     async def watch(self, key: str, after: StoreVersion, wait: float) -> Entry | Unavailable | None:
-        """Wait until the key has another version than the given one; none when the wait (seconds) ran out."""
+        """Wait until the key's version differs from the given one; None after `wait` seconds without a change."""
 
     async def write(self, key: str, value: bytes, expected: StoreVersion) -> StoreVersion | Conflict | Unavailable:
         """Write a key if it has the expected version."""
 
 
 class VmList(Protocol):
-    """The platform's list of VMs, which lags."""
+    """The platform's list of VMs, which may be out of date."""
 
     async def list_leaving(self) -> frozenset[VmId] | Unavailable:
         """List the VMs that are leaving."""
--- a/packages/core/src/vaneturn_core/settings.py
+++ b/packages/core/src/vaneturn_core/settings.py
@@ -1,4 +1,4 @@
-"""Checked settings of one vaneturn-node process."""
+"""Validated settings of a vaneturn-node process."""
 
 from __future__ import annotations
 
@@ -25,25 +25,25 @@
 
 
 class NodeSettings(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """What a node learns from its settings file."""
+    """The content of a node's settings file."""
 
     vm: VmId
     data_hall: DataHall
-    http_address: Address  # callers and operators
-    peer_address: Address  # other nodes: datagrams and documents
+    http_address: Address  # for callers and operators
+    peer_address: Address  # for other nodes: datagrams and documents
     key_value_url: Annotated[str, Meta(pattern=r"^https?://")]
     vm_list_url: Annotated[str, Meta(pattern=r"^https?://")] | None = None
-    seeds: tuple[Address, ...] = ()  # peer addresses to join through when the key-value service is down
+    seeds: tuple[Address, ...] = ()  # peer addresses used to join when the key-value service is down
     cluster_key: Annotated[str, Meta(min_length=16)]  # signs datagrams between nodes and route tokens
     operator_keys: dict[str, Annotated[str, Meta(min_length=16)]]  # operator's name to bearer key
-    tls: TlsSettings | None = None  # plain HTTP without it, for balancers that end TLS themselves
+    tls: TlsSettings | None = None  # without it plain HTTP, for load balancers that terminate TLS
     stop_timeout: Seconds = 600.0  # longest wait for requests in progress at a planned stop
-    call_timeout: Seconds = 10.0  # longest wait for one reply of a backend server
+    call_timeout: Seconds = 10.0  # longest wait for a reply from a backend server
     log_level: Annotated[str, Meta(pattern="^(DEBUG|INFO|WARNING|ERROR)$")] = "INFO"
 
 
 def load_settings(path: Path) -> NodeSettings | Fault:
-    """Read and check a settings file; the fault names the file and the place in it."""
+    """Read and check a settings file; the fault contains the file name and the path within the file."""
     try:
         settings = msgspec.json.decode(path.read_bytes(), type=NodeSettings)
         return _check_files(path, settings) or settings
@@ -55,7 +55,7 @@
 
 
 def _check_files(path: Path, settings: NodeSettings) -> Fault | None:
-    """Check that the files that the settings name can be read."""
+    """Check that the files named in the settings are readable."""
     if settings.tls is None:
         return None
     for field, named in (("certificate", settings.tls.certificate), ("key", settings.tls.key)):
--- a/tests/core/test_settings.py
+++ b/tests/core/test_settings.py
@@ -1,4 +1,4 @@
-"""A wrong or missing setting is one line that names the file, the place and what was expected."""
+"""A wrong or missing setting is reported in one line with the file, the path within it and what was expected."""
 
 from __future__ import annotations
 
