--- a/packages/core/src/vaneturn_core/placing/plan.py
+++ b/packages/core/src/vaneturn_core/placing/plan.py
@@ -37,7 +37,7 @@
     def __init__(
         self,
         configuration: Configuration,
-        said: Mapping[VmId, Holdings],
+        reports: Mapping[VmId, Holdings],
         unusable: Collection[VmId],
         silent: Collection[VmId],
     ) -> None:
@@ -52,15 +52,17 @@
         # If an engine that never confirms an order came first, no other server of its range could be emptied.
         # Unresponsive engines are therefore planned last, and their capacity is not counted on.
         self._silent = frozenset(silent)
-        self._said = said
+        self._reports = reports
         # state of each server after this round: the parts to hold finally, and those that are ready now
-        self._targets = {vm: holdings.target for vm, holdings in said.items()}
-        self._held = {vm: frozenset(holdings.held) for vm, holdings in said.items()}
-        self._budget = configuration.loads_at_once - sum(bool(holdings.loading) for holdings in said.values())
+        self._targets = {vm: holdings.target for vm, holdings in reports.items()}
+        self._held = {vm: frozenset(holdings.held) for vm, holdings in reports.items()}
+        self._budget = configuration.loads_at_once - sum(bool(holdings.loading) for holdings in reports.values())
         # number of servers that have each part ready, and that have it in any state
-        self._holders = Counter(part for held in self._held.values() for part in held)
-        self._ending = {part for holdings in said.values() for part in holdings.ending}
-        self._places = Counter(part for holdings in said.values() for part in (*holdings.target, *holdings.ending))
+        self._ready_counts = Counter(part for held in self._held.values() for part in held)
+        self._ending = {part for holdings in reports.values() for part in holdings.ending}
+        self._replica_counts = Counter(
+            part for holdings in reports.values() for part in (*holdings.target, *holdings.ending)
+        )
         # parts that the newest and the previous versions need on each server
         self._wanted = group_parts(configuration.pipelines)
         previous = [version for pipeline in configuration.pipelines for version in list_versions(pipeline)[1:]]
@@ -68,10 +70,10 @@
         self._previous_in_use = group_parts(version for version in previous if self._is_in_use(version))
         self._rates = self._sum_rates()
         # for each pipeline: servers without capacity, capacity at the start of this round, and required capacity
-        self._absent: dict[PipelineName, frozenset[VmId]] = {}
-        self._carried: dict[PipelineName, float] = {}
-        self._enough: dict[PipelineName, float] = {}
-        self._refused: set[frozenset[Part]] = set()  # sets of parts whose servers cannot be spared in this round
+        self._unavailable: dict[PipelineName, frozenset[VmId]] = {}
+        self._capacities: dict[PipelineName, float] = {}
+        self._required_capacities: dict[PipelineName, float] = {}
+        self._unsparable: set[frozenset[Part]] = set()  # sets of parts whose servers cannot be spared in this round
         self._stuck: list[VmId] = []
 
     def _sum_rates(self) -> Mapping[VmId, float]:
@@ -81,29 +83,29 @@
                 rates[stage.vm] += stage.rate
         return rates
 
-    def make(self) -> Plan:
+    def make_plan(self) -> Plan:
         """Make the plan: servers with enough free memory come first, among them those whose parts are rarest."""
-        servers = [server for server in self._configuration.servers if self._is_ordered(server.vm)]
+        servers = [server for server in self._configuration.servers if self._takes_orders(server.vm)]
         servers.sort(key=self._rank)
-        orders = [order for server in servers for order in self._decide(server)]
-        is_moving = orders or any(holdings.loading or holdings.ending for holdings in self._said.values())
+        orders = [order for server in servers for order in self._plan_server(server)]
+        is_moving = orders or any(holdings.loading or holdings.ending for holdings in self._reports.values())
         return Plan(tuple(orders), () if is_moving else tuple(self._stuck))
 
-    def _is_ordered(self, vm: VmId) -> bool:
-        return vm in self._said and vm not in self._unusable
+    def _takes_orders(self, vm: VmId) -> bool:
+        return vm in self._reports and vm not in self._unusable
 
     def _rank(self, server: Server) -> tuple[bool, bool, int, float, VmId]:
         wanted = self._wanted.get(server.vm, frozenset())
-        has_room = self._fits(server, wanted | self._targets[server.vm])
+        has_memory = self._fits(server, wanted | self._targets[server.vm])
         is_silent = server.vm in self._silent
-        return (is_silent, not has_room, self._count_holders(server.vm), self._rates[server.vm], server.vm)
+        return (is_silent, not has_memory, self._count_holders(server.vm), self._rates[server.vm], server.vm)
 
     def _count_holders(self, vm: VmId) -> int:
         """Count the replicas of the rarest part that this server lacks."""
         lacking = self._wanted.get(vm, frozenset()) - self._held[vm]
-        return min((self._holders[part] for part in lacking), default=len(self._held))
+        return min((self._ready_counts[part] for part in lacking), default=len(self._held))
 
-    def _decide(self, server: Server) -> Iterator[HoldOrder]:
+    def _plan_server(self, server: Server) -> Iterator[HoldOrder]:
         """Plan one server; yields an order only if the target changes."""
         target = self._targets[server.vm]
         chosen = self._choose_parts(server, target)
@@ -119,23 +121,23 @@
         Sessions in progress may delay the load for long, and until then the server reads nothing from the weight store.
         """
         wanted = self._wanted.get(server.vm, frozenset())
-        kept = (target & wanted) | (target & self._previous.get(server.vm, frozenset()))
-        stranded = self._list_stranded(server, target)
+        retained = (target & wanted) | (target & self._previous.get(server.vm, frozenset()))
+        missing = self._list_missing(server, target)
         if self._budget <= 0:
-            return kept
-        if stranded:
-            self._places.update(stranded)
+            return retained
+        if missing:
+            self._replica_counts.update(missing)
             self._budget -= 1
-            return kept | stranded
+            return retained | missing
         if wanted <= target:
-            return kept
-        if self._fits(server, wanted | kept):
+            return retained
+        if self._fits(server, wanted | retained):
             self._budget -= 1
-            return wanted | kept
-        if kept - wanted and self._can_be_emptied(server.vm):
+            return wanted | retained
+        if retained - wanted and self._can_be_spared(server.vm):
             self._budget -= 1  # for the load that follows
-            return kept & wanted
-        return kept
+            return retained & wanted
+        return retained
 
     def _is_replaced(self, previous: Pipeline) -> bool:
         """Tell whether all servers that take orders hold the newest version, and it can run on the usable ones alone.
@@ -144,7 +146,7 @@
         """
         newest = next(pipeline for pipeline in self._configuration.pipelines if pipeline.name == previous.name)
         lacking = list_lacking(newest, self._held)
-        if any(self._is_ordered(vm) for vm in lacking):
+        if any(self._takes_orders(vm) for vm in lacking):
             return False
         return not lacking or compute_flow(newest, lacking | self._unusable).bound > 0
 
@@ -152,56 +154,58 @@
         """Tell whether sessions in progress still use a version that some server no longer offers to new ones."""
         return any(make_part(previous, stage) in self._ending for stage in previous.stages)
 
-    def _list_stranded(self, server: Server, target: frozenset[Part]) -> frozenset[Part]:
+    def _list_missing(self, server: Server, target: frozenset[Part]) -> frozenset[Part]:
         """List the parts that sessions in progress need and no server has any more, if they fit on this server."""
-        gone = frozenset(part for part in self._previous_in_use.get(server.vm, frozenset()) if not self._places[part])
+        gone = frozenset(
+            part for part in self._previous_in_use.get(server.vm, frozenset()) if not self._replica_counts[part]
+        )
         if not gone or not self._fits(server, target | gone):
             return frozenset()
         return gone
 
-    def _is_last(self, vm: VmId) -> bool:
+    def _is_sole_holder(self, vm: VmId) -> bool:
         """Tell whether this server is the only one with some part that sessions in progress need."""
         parts = self._previous_in_use.get(vm, frozenset()) & self._targets[vm]
-        return any(self._places[part] == 1 for part in parts)
+        return any(self._replica_counts[part] == 1 for part in parts)
 
     def _fits(self, server: Server, parts: frozenset[Part]) -> bool:
         """Tell whether parts fit in memory beside those that the engine keeps for sessions in progress."""
-        ending = self._said[server.vm].ending
+        ending = self._reports[server.vm].ending
         return not server.memory or count_bytes(self._configuration, {*parts, *ending}) <= server.memory
 
-    def _can_be_emptied(self, vm: VmId) -> bool:
+    def _can_be_spared(self, vm: VmId) -> bool:
         """Tell whether enough capacity remains without this server, over all versions."""
-        if self._is_last(vm):
+        if self._is_sole_holder(vm):
             return False
         parts = self._wanted[vm]
-        if parts in self._refused:
+        if parts in self._unsparable:
             return False  # a server with the same parts and no greater rate could not be spared
-        touched = [
+        affected = [
             pipeline for pipeline in self._configuration.pipelines if any(stage.vm == vm for stage in pipeline.stages)
         ]
-        if all(self._goes_on(pipeline, vm) for pipeline in touched):
+        if all(self._has_enough_capacity(pipeline, vm) for pipeline in affected):
             return True
-        self._refused.add(parts)
+        self._unsparable.add(parts)
         self._stuck.append(vm)
         return False
 
-    def _goes_on(self, pipeline: Pipeline, without: VmId) -> bool:
-        if pipeline.name not in self._carried:
-            absent = self._absent[pipeline.name] = self._find_absent(pipeline)
-            self._carried[pipeline.name] = self._carry(pipeline, absent)
-            self._enough[pipeline.name] = KEPT_SHARE * compute_flow(pipeline, absent).bound
-        least = min(self._enough[pipeline.name], self._carried[pipeline.name])
-        return self._carry(pipeline, self._absent[pipeline.name] | {without}) >= least
+    def _has_enough_capacity(self, pipeline: Pipeline, without: VmId) -> bool:
+        if pipeline.name not in self._capacities:
+            unavailable = self._unavailable[pipeline.name] = self._find_unavailable(pipeline)
+            self._capacities[pipeline.name] = self._compute_capacity(pipeline, unavailable)
+            self._required_capacities[pipeline.name] = KEPT_SHARE * compute_flow(pipeline, unavailable).bound
+        required = min(self._required_capacities[pipeline.name], self._capacities[pipeline.name])
+        return self._compute_capacity(pipeline, self._unavailable[pipeline.name] | {without}) >= required
 
-    def _find_absent(self, pipeline: Pipeline) -> frozenset[VmId]:
+    def _find_unavailable(self, pipeline: Pipeline) -> frozenset[VmId]:
         """Find the servers whose capacity does not count.
 
         Unresponsive servers are among them only if some capacity remains without them, as they may serve other nodes.
         """
-        absent = self._unusable | self._silent
-        return absent if self._carry(pipeline, absent) else self._unusable
+        unavailable = self._unusable | self._silent
+        return unavailable if self._compute_capacity(pipeline, unavailable) else self._unusable
 
-    def _carry(self, pipeline: Pipeline, without: frozenset[VmId]) -> float:
+    def _compute_capacity(self, pipeline: Pipeline, without: frozenset[VmId]) -> float:
         """Compute the current capacity of a pipeline without some servers, summed over its versions."""
         return sum(
             compute_flow(version, list_lacking(version, self._held) | without).bound
@@ -211,12 +215,12 @@
 
 def plan_holdings(
     configuration: Configuration,
-    said: Mapping[VmId, Holdings],
+    reports: Mapping[VmId, Holdings],
     unusable: Collection[VmId] = frozenset(),
     silent: Collection[VmId] = frozenset(),
 ) -> Plan:
     """Plan which parts each engine should hold."""
-    return Planner(configuration, said, unusable, silent).make()
+    return Planner(configuration, reports, unusable, silent).make_plan()
 
 
 __all__ = ["KEPT_SHARE", "HoldOrder", "Plan", "plan_holdings"]
--- a/tests/rig/mechanisms.py
+++ b/tests/rig/mechanisms.py
@@ -224,7 +224,7 @@
     Proof(
         "a version that answers still need comes back to a server",
         "tests/system/test_placing.py::test_answer_on_the_previous_version_outlives_its_stage",
-        (Edit(f"{CORE}/placing/plan.py", "        if stranded:\n", "        if False:\n"),),
+        (Edit(f"{CORE}/placing/plan.py", "        if missing:\n", "        if False:\n"),),
     ),
     Proof(
         "a resumed answer fences the node that lost it",
