--- a/packages/core/src/vaneturn_core/limits/concurrency.py
+++ b/packages/core/src/vaneturn_core/limits/concurrency.py
@@ -5,7 +5,7 @@
 import math
 from typing import Final
 
-UNEVENNESS: Final = 1.25  # headroom, since the balancer does not distribute requests evenly over the nodes
+IMBALANCE_HEADROOM: Final = 1.25  # the balancer does not distribute requests evenly over the nodes
 MIN_LIMIT: Final = 2
 
 
@@ -19,7 +19,7 @@
     :param token_time: wanted seconds between tokens.
     :param nodes: number of nodes that share the pipeline.
     """
-    return max(MIN_LIMIT, math.ceil(UNEVENNESS * bound * token_time / max(1, nodes)))
+    return max(MIN_LIMIT, math.ceil(IMBALANCE_HEADROOM * bound * token_time / max(1, nodes)))
 
 
 def weigh_class(weight: float, priority: int) -> float:
--- a/packages/core/src/vaneturn_core/limits/retrybudget.py
+++ b/packages/core/src/vaneturn_core/limits/retrybudget.py
@@ -4,25 +4,25 @@
 
 from typing import Final
 
-SHARE: Final = 0.1  # retries earned by each first try
-RESERVE: Final = 10.0  # retries available at the start, and the most that can be saved
+RETRIES_PER_FIRST_TRY: Final = 0.1  # retries earned by each first try
+MAX_SAVED_RETRIES: Final = 10.0  # retries available at the start, and the most that can be saved
 
 
 class RetryBudget:
     """A budget that first tries fill and retries use up."""
 
     def __init__(self) -> None:
-        self._saved = RESERVE
+        self._balance = MAX_SAVED_RETRIES
 
     def earn(self) -> None:
         """Count a first try."""
-        self._saved = min(RESERVE, self._saved + SHARE)
+        self._balance = min(MAX_SAVED_RETRIES, self._balance + RETRIES_PER_FIRST_TRY)
 
     def spend(self) -> bool:
         """Take a retry from the budget; False if it is used up."""
-        if self._saved < 1:
+        if self._balance < 1:
             return False
-        self._saved -= 1
+        self._balance -= 1
         return True
 
 
