--- a/packages/core/src/vaneturn_core/claims/ledger.py
+++ b/packages/core/src/vaneturn_core/claims/ledger.py
@@ -18,7 +18,7 @@
 
 CLOCK_MARGIN: Final = 2.0  # seconds; greatest difference allowed between the clocks of callers and nodes
 REMEMBERED: Final = 3600.0  # seconds for which a key is kept; older keys are rejected
-FORGET_EVERY: Final = 1024  # claims between two removals of expired keys
+CLAIMS_PER_CLEANUP: Final = 1024  # claims between two removals of expired keys
 _TIME_SHIFT: Final = 80  # bits after the milliseconds in a UUID version 7
 
 
@@ -55,7 +55,7 @@
 
     taken_at: float  # seconds since the epoch at which the takeover of the slot was final
     _claims: dict[tuple[CustomerName, RepeatKey], str] = field(default_factory=dict)
-    _since_forgetting: int = 0
+    _claims_since_cleanup: int = 0
 
     def claim(self, customer: CustomerName, repeat_key: RepeatKey, claim: str, made_at: float, now: float) -> Verdict:
         """Accept a claim or give the reason for rejecting it; a repeat with the same claim id gets the same verdict.
@@ -68,9 +68,9 @@
         if made_at <= self.taken_at + CLOCK_MARGIN or made_at < now - REMEMBERED:
             return Verdict.TOO_OLD
         holder = self._claims.setdefault((customer, repeat_key), claim)
-        self._since_forgetting += 1
-        if self._since_forgetting >= FORGET_EVERY:
-            self._forget(now)
+        self._claims_since_cleanup += 1
+        if self._claims_since_cleanup >= CLAIMS_PER_CLEANUP:
+            self._remove_expired(now)
         return Verdict.WON if holder == claim else Verdict.CLAIMED
 
     def release(self, customer: CustomerName, repeat_key: RepeatKey, claim: str) -> None:
@@ -88,8 +88,8 @@
         for entry in entries:
             self._claims.setdefault((entry.customer, entry.repeat_key), entry.claim)
 
-    def _forget(self, now: float) -> None:
-        self._since_forgetting = 0
+    def _remove_expired(self, now: float) -> None:
+        self._claims_since_cleanup = 0
         for customer, key in list(self._claims):
             made_at = read_key_time(key)
             if made_at is None or made_at < now - REMEMBERED - CLOCK_MARGIN:
--- a/packages/core/src/vaneturn_core/claims/slots.py
+++ b/packages/core/src/vaneturn_core/claims/slots.py
@@ -50,7 +50,7 @@
     return xxhash.xxh3_64_intdigest(f"{customer}\0{repeat_key}".encode()) % SLOTS
 
 
-def reassign_slots(present: SlotMap, members: Sequence[Member], unmet: Collection[NodeId] = ()) -> SlotMap | None:
+def reassign_slots(current: SlotMap, members: Sequence[Member], unmet: Collection[NodeId] = ()) -> SlotMap | None:
     """Reassign the slots of owners that are gone; None when nothing has to change.
 
     After a move a slot rejects all keys created before it, so slots move only when necessary.
@@ -58,15 +58,15 @@
     :param unmet: owners that may be alive although the assigning node has had no contact with them.
     """
     alive = {member.node: member for member in members if member.state is not MemberState.DEAD}
-    staying = [owner for owner in present.owners if owner.node in alive or owner.node in unmet]
-    if present.slots and len(staying) == len(present.owners) and len(staying) >= min(OWNERS, len(alive)) // 2:
+    staying = [owner for owner in current.owners if owner.node in alive or owner.node in unmet]
+    if current.slots and len(staying) == len(current.owners) and len(staying) >= min(OWNERS, len(alive)) // 2:
         return None
     owners = [*staying, *_choose_owners(alive.values(), {owner.node for owner in staying}, OWNERS - len(staying))]
     if not owners:
         return None
     index_of = {owner.node: index for index, owner in enumerate(owners)}
-    kept = [index_of.get(present.owners[index].node) for index in present.slots] or [None] * SLOTS
-    return SlotMap(present.epoch + 1, tuple(owners), _fill(kept, len(owners)))
+    assigned = [index_of.get(current.owners[index].node) for index in current.slots] or [None] * SLOTS
+    return SlotMap(current.epoch + 1, tuple(owners), _assign_free_slots(assigned, len(owners)))
 
 
 def _choose_owners(alive: Collection[Member], staying: set[NodeId], count: int) -> list[SlotOwner]:
@@ -75,16 +75,16 @@
     return [SlotOwner(member.node, member.address) for member in members[:count]]
 
 
-def _fill(kept: Sequence[int | None], owners: int) -> tuple[int, ...]:
+def _assign_free_slots(assigned: Sequence[int | None], owners: int) -> tuple[int, ...]:
     """Assign each slot without an owner to the owner with the fewest slots."""
-    loads = Counter(dict.fromkeys(range(owners), 0))
-    loads.update(index for index in kept if index is not None)
-    filled: list[int] = []
-    for index in kept:
-        chosen = index if index is not None else min(loads, key=lambda owner: (loads[owner], owner))
-        loads[chosen] += index is None
-        filled.append(chosen)
-    return tuple(filled)
+    slot_counts = Counter(dict.fromkeys(range(owners), 0))
+    slot_counts.update(index for index in assigned if index is not None)
+    complete: list[int] = []
+    for index in assigned:
+        chosen = index if index is not None else min(slot_counts, key=lambda owner: (slot_counts[owner], owner))
+        slot_counts[chosen] += index is None
+        complete.append(chosen)
+    return tuple(complete)
 
 
 __all__ = ["OWNERS", "SLOTS", "SLOTS_KEY", "SlotMap", "SlotOwner", "find_slot", "reassign_slots"]
