--- a/packages/core/src/vaneturn_core/membership/table.py
+++ b/packages/core/src/vaneturn_core/membership/table.py
@@ -27,8 +27,8 @@
         self._rng = rng
         self._clock = clock
         self._members: dict[NodeId, Member] = {own.node: own}
-        self._since: dict[NodeId, float] = {}  # when a member became suspect or dead
-        self._tellings: dict[NodeId, int] = {own.node: 0}  # changes still to send, and how often each was sent
+        self._state_since: dict[NodeId, float] = {}  # when a member became suspect or dead
+        self._pending_changes: dict[NodeId, int] = {own.node: 0}  # changes still to send, and how often each was sent
         self._probe_order: list[NodeId] = []
         self.listeners: list[Callable[[Member], None]] = []
 
@@ -57,39 +57,39 @@
         """Tell whether a node is known, even if only as dead."""
         return node in self._members
 
-    def merge(self, told: Iterable[Member]) -> None:
+    def merge(self, reports: Iterable[Member]) -> None:
         """Merge the reports of another node."""
-        for member in told:
+        for member in reports:
             if member.node == self.own.node:
                 self._refute(member)
             else:
-                self._take(member)
+                self._merge_member(member)
 
-    def _refute(self, told: Member) -> None:
+    def _refute(self, report: Member) -> None:
         """Refute a report that this node is suspect or dead with a greater incarnation."""
-        if told.state is MemberState.ALIVE or told.incarnation < self.own.incarnation:
+        if report.state is MemberState.ALIVE or report.incarnation < self.own.incarnation:
             return
         if self.own.state is MemberState.DEAD:
             return  # this node is stopping
-        self.own = msgspec.structs.replace(self.own, incarnation=told.incarnation + 1)
-        self._set(self.own)
+        self.own = msgspec.structs.replace(self.own, incarnation=report.incarnation + 1)
+        self._store_member(self.own)
 
-    def _take(self, member: Member) -> None:
+    def _merge_member(self, member: Member) -> None:
         known = self._members.get(member.node)
         if known is None and member.state is MemberState.DEAD:
             return
         if known is None or member.overrides(known):
-            self._set(member)
+            self._store_member(member)
         elif known.state is MemberState.DEAD and member.state is MemberState.ALIVE:
-            self._tellings[member.node] = 0  # the member is alive and must learn that it is reported dead to refute it
+            self._pending_changes[member.node] = 0  # it is alive and must learn of its reported death to refute it
 
-    def _set(self, member: Member) -> None:
+    def _store_member(self, member: Member) -> None:
         self._members[member.node] = member
-        self._tellings[member.node] = 0
+        self._pending_changes[member.node] = 0
         if member.state is MemberState.ALIVE:
-            self._since.pop(member.node, None)
+            self._state_since.pop(member.node, None)
         else:
-            self._since[member.node] = self._clock()
+            self._state_since[member.node] = self._clock()
         for listener in self.listeners:
             listener(member)
 
@@ -97,16 +97,16 @@
         """Suspect a member that did not answer."""
         known = self._members.get(node)
         if known is not None and known.state is MemberState.ALIVE:
-            self._set(msgspec.structs.replace(known, state=MemberState.SUSPECT))
+            self._store_member(msgspec.structs.replace(known, state=MemberState.SUSPECT))
 
     def expire(self) -> None:
         """Declare suspects dead that did not refute in time, and remove members that have been dead for long."""
         now = self._clock()
-        patience = self.suspicion_time()
-        for node, since in list(self._since.items()):
+        timeout = self.suspicion_time()
+        for node, since in list(self._state_since.items()):
             member = self._members[node]
-            if member.state is MemberState.SUSPECT and now - since >= patience:
-                self._set(msgspec.structs.replace(member, state=MemberState.DEAD))
+            if member.state is MemberState.SUSPECT and now - since >= timeout:
+                self._store_member(msgspec.structs.replace(member, state=MemberState.DEAD))
             elif member.state is MemberState.DEAD and now - since >= REMEMBER_DEAD:
                 self._forget(node)
         for member in self.list_dead()[:-MAX_DEAD]:
@@ -119,17 +119,17 @@
     def retire(self) -> None:
         """Announce that this node will stop, so that the others take over its share of the work."""
         self.own = msgspec.structs.replace(self.own, incarnation=self.own.incarnation + 1, is_stopping=True)
-        self._set(self.own)
+        self._store_member(self.own)
 
     def stop(self) -> None:
         """Announce that this node stops now, so that the others need not suspect it first."""
         self.own = msgspec.structs.replace(self.own, state=MemberState.DEAD)
-        self._set(self.own)
+        self._store_member(self.own)
 
     def _forget(self, node: NodeId) -> None:
         del self._members[node]
-        self._since.pop(node, None)
-        self._tellings.pop(node, None)
+        self._state_since.pop(node, None)
+        self._pending_changes.pop(node, None)
 
     def pick_probe(self) -> Member | None:
         """Pick the next member to probe: each member once per round, in a new random order each round."""
@@ -151,13 +151,13 @@
 
     def take_tellings(self, limit: int) -> list[Member]:
         """Take the changes to send with the next message, those sent least often first."""
-        most = math.ceil(RETRANSMIT_FACTOR * math.log2(len(self._members) + 1))
-        chosen = sorted(self._tellings, key=lambda node: self._tellings[node])[:limit]
-        for node in chosen:
-            self._tellings[node] += 1
-            if self._tellings[node] >= most:
-                del self._tellings[node]
-        return [self._members[node] for node in chosen]
+        max_sends = math.ceil(RETRANSMIT_FACTOR * math.log2(len(self._members) + 1))
+        selected = sorted(self._pending_changes, key=lambda node: self._pending_changes[node])[:limit]
+        for node in selected:
+            self._pending_changes[node] += 1
+            if self._pending_changes[node] >= max_sends:
+                del self._pending_changes[node]
+        return [self._members[node] for node in selected]
 
     def is_chosen(self, role: str, count: int) -> bool:
         """Tell whether this node has a role in its data hall; nodes with the same view agree."""
