--- a/packages/core/src/vaneturn_core/routing/choice.py
+++ b/packages/core/src/vaneturn_core/routing/choice.py
@@ -39,22 +39,22 @@
     reachable = find_reachable(usable, layers)
     if 0 not in reachable:
         return None
-    chosen: list[Hop] = []
+    selected: list[Hop] = []
     boundary = 0
     while boundary < layers:
         fitting = {hop: weight for hop, weight in usable[boundary].items() if hop.end in reachable}
         hop = _choose_hop(fitting, affinity, load)
-        chosen.append(hop)
+        selected.append(hop)
         boundary = hop.end
-    return Route(layers, tuple(chosen))
+    return Route(layers, tuple(selected))
 
 
 def _choose_hop(weights: Mapping[Hop, float], affinity: str, load: LoadView) -> Hop:
     ranked = sorted(weights, key=lambda hop: _score(hop, weights[hop], affinity), reverse=True)
     free = [hop for hop in ranked if not load.is_full(hop.vm)] or ranked
     first, second = free[0], free[min(1, len(free) - 1)]
-    other = load.estimate_latency(second.vm)  # 0 when unknown, which is no reason to leave the first
-    return second if 0 < LATENCY_RATIO * other < load.estimate_latency(first.vm) else first
+    second_latency = load.estimate_latency(second.vm)  # 0 when unknown, which is no reason to leave the first
+    return second if 0 < LATENCY_RATIO * second_latency < load.estimate_latency(first.vm) else first
 
 
 def _score(hop: Hop, weight: float, affinity: str) -> float:
--- a/packages/core/src/vaneturn_core/routing/health.py
+++ b/packages/core/src/vaneturn_core/routing/health.py
@@ -11,19 +11,19 @@
 from vaneturn_core.identifiers import VmId
 
 FAILURES_TO_EJECT: Final = 3
-EJECTION: Final = 5.0  # seconds, doubled with each consecutive ejection
-MAX_EJECTION: Final = 60.0  # seconds
+EJECTION_S: Final = 5.0  # doubled with each consecutive ejection
+MAX_EJECTION_S: Final = 60.0
 MAX_EJECTED_SHARE: Final = 0.5  # of the servers; above this share, failures eject no further servers
 LATENCY_WEIGHT: Final = 0.2  # of the newest reply in the moving average
-BEST_DRIFT: Final = 1.001  # factor by which the best latency grows with each reply, so that old values expire
+BEST_LATENCY_GROWTH: Final = 1.001  # factor by which the best latency grows with each reply, so that old values expire
 INITIAL_LIMIT: Final = 64
 MIN_LIMIT: Final = 4
 MAX_LIMIT: Final = 4096
 LATENCY_TOLERANCE: Final = 3.0  # above this ratio of average to best latency, each round of replies halves the limit
-FORGETTING: Final = 5.0  # seconds without a reply after which the excess over the best latency counts half
-PROMPT_POSITIONS: Final = 16  # a step with at least this many positions measures prompt speed
+SLOWNESS_HALF_LIFE_S: Final = 5.0  # time without a reply after which the excess over the best latency counts half
+MIN_PROMPT_POSITIONS: Final = 16  # a step with at least this many positions measures prompt speed
 TIMEOUT_RATIO: Final = 10.0  # of the step timeout to the average latency
-POSITION_TIMEOUT: Final = 0.004  # seconds added to the timeout for each position of a step
+POSITION_TIMEOUT_S: Final = 0.004  # added to the timeout for each position of a step
 
 
 class LeavingSource(Enum):
@@ -55,17 +55,17 @@
     def compute_timeout(self, positions: int, shortest: float, longest: float) -> float:
         """Compute how long to wait for the reply to a step; too short a timeout costs a rebuild, not correctness."""
         expected = max(shortest, TIMEOUT_RATIO * self.latency)
-        return min(longest, expected + positions * POSITION_TIMEOUT)
+        return min(longest, expected + positions * POSITION_TIMEOUT_S)
 
     def record_reply(self, latency: float, positions: int, now: float) -> None:
         """Update the averages with a reply and adapt the concurrency limit."""
         self.failures = 0
         self.ejections = 0
         self.replied_at = now
-        if positions >= PROMPT_POSITIONS:
+        if positions >= MIN_PROMPT_POSITIONS:
             self.position_seconds = _average(self.position_seconds, latency / positions)
             return
-        self.best_latency = min(self.best_latency * BEST_DRIFT, latency)
+        self.best_latency = min(self.best_latency * BEST_LATENCY_GROWTH, latency)
         self.latency = _average(self.latency, latency)
         if self.latency > LATENCY_TOLERANCE * self.best_latency:
             self.limit = max(MIN_LIMIT, self.limit - self.limit / 2 / max(self.in_progress, 1))
@@ -102,22 +102,22 @@
         if not health.latency:
             return 0.0
         slowness = max(0.0, health.latency - health.best_latency)
-        remembered: float = 0.5 ** ((self._clock() - health.replied_at) / FORGETTING)
-        return health.latency - slowness * (1 - remembered)
+        remaining_share: float = 0.5 ** ((self._clock() - health.replied_at) / SLOWNESS_HALF_LIFE_S)
+        return health.latency - slowness * (1 - remaining_share)
 
     def record_reply(self, vm: VmId, latency: float, positions: int = 1) -> None:
         """Update a server's health with a reply."""
         self[vm].record_reply(latency, positions, self._clock())
 
-    def record_failure(self, vm: VmId, begun: float | None = None) -> None:
+    def record_failure(self, vm: VmId, started_at: float | None = None) -> None:
         """Count a lost or late reply; eject the server after several consecutive ones, within the cap.
 
-        :param begun: when the step began, by this object's clock. A step that began before the last failure is not
-            counted, since it belongs to the same event, such as a closed connection that fails all its steps.
+        :param started_at: when the step started, by this object's clock. A step that started before the last failure is
+            not counted, since it belongs to the same event, such as a closed connection that fails all its steps.
         """
         health = self[vm]
-        if begun is not None:
-            if begun <= health.failed_at:
+        if started_at is not None:
+            if started_at <= health.failed_at:
                 return
             health.failed_at = self._clock()
         health.failures += 1
@@ -126,7 +126,7 @@
         ejected = sum(self._is_ejected(other) for other in self._servers.values())
         if ejected + 1 > MAX_EJECTED_SHARE * len(self._servers):
             return
-        health.ejected_until = self._clock() + min(MAX_EJECTION, EJECTION * 2**health.ejections)
+        health.ejected_until = self._clock() + min(MAX_EJECTION_S, EJECTION_S * 2**health.ejections)
         health.ejections += 1
 
     def mark_leaving(self, vm: VmId, source: LeavingSource) -> None:
@@ -149,13 +149,13 @@
 
     def replace_leaving(self, source: LeavingSource, vms: Iterable[VmId]) -> None:
         """Replace the set of servers that one source reports as leaving."""
-        now_leaving = set(vms)
+        reported = set(vms)
         before = self.list_said_by(source)
-        for vm in before - now_leaving:
+        for vm in before - reported:
             self[vm].leaving.discard(source)
-        for vm in now_leaving - before:
+        for vm in reported - before:
             self[vm].leaving.add(source)
-        if before != now_leaving:
+        if before != reported:
             self._notify()
 
     def list_leaving(self) -> frozenset[VmId]:
--- a/packages/core/src/vaneturn_core/routing/recovery.py
+++ b/packages/core/src/vaneturn_core/routing/recovery.py
@@ -10,8 +10,8 @@
 from vaneturn_core.configuration.schema import Link, Preference
 from vaneturn_core.identifiers import DataHall
 
-LOCAL_LATENCY: Final = 0.0005  # seconds, one way, for data halls without a declared link
-LOCAL_BANDWIDTH: Final = 1e9  # bytes a second
+DEFAULT_LATENCY_S: Final = 0.0005  # one way, for data halls without a declared link
+DEFAULT_BANDWIDTH: Final = 1e9  # bytes per second
 MIN_STEP_TIMEOUT: Final = {Preference.THROUGHPUT: 2.0, Preference.RECOVERY: 0.75}  # seconds
 
 
@@ -39,10 +39,10 @@
 
     def estimate_transfer(self, first: DataHall, second: DataHall, size: float) -> float:
         """Estimate the seconds that a transfer takes."""
-        pair = frozenset((first, second))
-        link = self._declared.get(pair)
-        latency = link.latency if link else LOCAL_LATENCY
-        bandwidth = self._measured.get(pair) or (link.bandwidth if link else LOCAL_BANDWIDTH)
+        halls = frozenset((first, second))
+        link = self._declared.get(halls)
+        latency = link.latency if link else DEFAULT_LATENCY_S
+        bandwidth = self._measured.get(halls) or (link.bandwidth if link else DEFAULT_BANDWIDTH)
         return latency + size / bandwidth
 
 
@@ -61,8 +61,8 @@
 def estimate_import(move: Move, links: LinkTable) -> float:
     """Estimate the seconds to export, transfer and import the cache."""
     size = float(move.positions * move.layers * move.cache_bytes)
-    out = links.estimate_transfer(move.old_hall, move.node_hall, size)
-    return out + links.estimate_transfer(move.node_hall, move.new_hall, size)
+    export_time = links.estimate_transfer(move.old_hall, move.node_hall, size)
+    return export_time + links.estimate_transfer(move.node_hall, move.new_hall, size)
 
 
 def estimate_rebuild(positions: int, position_seconds: Sequence[float]) -> float:
--- a/tests/core/routing/test_health.py
+++ b/tests/core/routing/test_health.py
@@ -8,7 +8,7 @@
 
 from vaneturn_core.identifiers import VmId
 from vaneturn_core.routing.health import (
-    EJECTION,
+    EJECTION_S,
     FAILURES_TO_EJECT,
     MAX_EJECTED_SHARE,
     MIN_LIMIT,
@@ -51,10 +51,10 @@
     for _ in range(FAILURES_TO_EJECT):
         healths.record_failure(SERVERS[0])
     assert healths.list_ejected() == {SERVERS[0]}
-    clock.now = EJECTION + 0.1
+    clock.now = EJECTION_S + 0.1
     assert not healths.list_ejected()
     healths.record_failure(SERVERS[0])
-    clock.now += 1.5 * EJECTION
+    clock.now += 1.5 * EJECTION_S
     assert healths.list_ejected() == {SERVERS[0]}
 
 
