--- a/packages/core/src/vaneturn_core/placing/parts.py
+++ b/packages/core/src/vaneturn_core/placing/parts.py
@@ -73,7 +73,7 @@
 
 def is_holding(held: Collection[Part], wanted: Iterable[Part]) -> bool:
     """Tell whether an engine can run every wanted part now."""
-    return all(any(part.covers(one) for part in held) for one in wanted)
+    return all(any(part.covers(wanted_part) for part in held) for wanted_part in wanted)
 
 
 def count_bytes(configuration: Configuration, parts: Iterable[Part]) -> int:
--- a/packages/core/src/vaneturn_core/tiling.py
+++ b/packages/core/src/vaneturn_core/tiling.py
@@ -24,10 +24,10 @@
     :raises AssertionError: the ranges violate the invariant; this stops the process.
     """
     boundary = 0
-    for one in ranges:
-        if one.first != boundary or one.end <= one.first:
+    for layer_range in ranges:
+        if layer_range.first != boundary or layer_range.end <= layer_range.first:
             raise AssertionError(f"layer ranges have a gap or overlap at {boundary}: {ranges}")
-        boundary = one.end
+        boundary = layer_range.end
     if boundary != layers:
         raise AssertionError(f"layer ranges end at {boundary} instead of {layers}: {ranges}")
 
