--- a/packages/core/src/vaneturn_core/claims/ledger.py
+++ b/packages/core/src/vaneturn_core/claims/ledger.py
@@ -16,8 +16,8 @@
 
 from vaneturn_core.identifiers import CustomerName, RepeatKey
 
-CLOCK_MARGIN: Final = 2.0  # seconds; greatest difference allowed between the clocks of callers and nodes
-REMEMBERED: Final = 3600.0  # seconds for which a key is kept; older keys are rejected
+CLOCK_MARGIN_S: Final = 2.0  # greatest difference allowed between the clocks of callers and nodes
+KEY_RETENTION_S: Final = 3600.0  # how long a key is kept; older keys are rejected
 CLAIMS_PER_CLEANUP: Final = 1024  # claims between two removals of expired keys
 _TIME_SHIFT: Final = 80  # bits after the milliseconds in a UUID version 7
 
@@ -57,15 +57,17 @@
     _claims: dict[tuple[CustomerName, RepeatKey], str] = field(default_factory=dict)
     _claims_since_cleanup: int = 0
 
-    def claim(self, customer: CustomerName, repeat_key: RepeatKey, claim: str, made_at: float, now: float) -> Verdict:
+    def claim(
+        self, customer: CustomerName, repeat_key: RepeatKey, claim: str, created_at: float, now: float
+    ) -> Verdict:
         """Accept a claim or give the reason for rejecting it; a repeat with the same claim id gets the same verdict.
 
-        :param made_at: creation time of the key, in seconds since the epoch.
+        :param created_at: creation time of the key, in seconds since the epoch.
         :param now: seconds since the epoch, read before the owner confirmed that it still owns the slot.
         """
-        if made_at > now + CLOCK_MARGIN:
+        if created_at > now + CLOCK_MARGIN_S:
             return Verdict.FROM_THE_FUTURE
-        if made_at <= self.taken_at + CLOCK_MARGIN or made_at < now - REMEMBERED:
+        if created_at <= self.taken_at + CLOCK_MARGIN_S or created_at < now - KEY_RETENTION_S:
             return Verdict.TOO_OLD
         holder = self._claims.setdefault((customer, repeat_key), claim)
         self._claims_since_cleanup += 1
@@ -91,12 +93,12 @@
     def _remove_expired(self, now: float) -> None:
         self._claims_since_cleanup = 0
         for customer, key in list(self._claims):
-            made_at = read_key_time(key)
-            if made_at is None or made_at < now - REMEMBERED - CLOCK_MARGIN:
+            created_at = read_key_time(key)
+            if created_at is None or created_at < now - KEY_RETENTION_S - CLOCK_MARGIN_S:
                 del self._claims[customer, key]
 
     def __len__(self) -> int:
         return len(self._claims)
 
 
-__all__ = ["CLOCK_MARGIN", "REMEMBERED", "LedgerEntry", "SlotLedger", "Verdict", "read_key_time"]
+__all__ = ["CLOCK_MARGIN_S", "KEY_RETENTION_S", "LedgerEntry", "SlotLedger", "Verdict", "read_key_time"]
--- a/packages/core/src/vaneturn_core/claims/slots.py
+++ b/packages/core/src/vaneturn_core/claims/slots.py
@@ -13,7 +13,7 @@
 from vaneturn_core.membership.member import Member, MemberState
 
 SLOTS: Final = 64
-OWNERS: Final = 16  # nodes that own slots; a fixed number, so that key-value calls do not grow with the fleet
+MAX_OWNERS: Final = 16  # nodes that own slots; a fixed number, so that key-value calls do not grow with the fleet
 SLOTS_KEY: Final = "vaneturn/slots"
 
 
@@ -59,9 +59,9 @@
     """
     alive = {member.node: member for member in members if member.state is not MemberState.DEAD}
     staying = [owner for owner in current.owners if owner.node in alive or owner.node in unmet]
-    if current.slots and len(staying) == len(current.owners) and len(staying) >= min(OWNERS, len(alive)) // 2:
+    if current.slots and len(staying) == len(current.owners) and len(staying) >= min(MAX_OWNERS, len(alive)) // 2:
         return None
-    owners = [*staying, *_choose_owners(alive.values(), {owner.node for owner in staying}, OWNERS - len(staying))]
+    owners = [*staying, *_choose_owners(alive.values(), {owner.node for owner in staying}, MAX_OWNERS - len(staying))]
     if not owners:
         return None
     index_of = {owner.node: index for index, owner in enumerate(owners)}
@@ -87,4 +87,4 @@
     return tuple(complete)
 
 
-__all__ = ["OWNERS", "SLOTS", "SLOTS_KEY", "SlotMap", "SlotOwner", "find_slot", "reassign_slots"]
+__all__ = ["MAX_OWNERS", "SLOTS", "SLOTS_KEY", "SlotMap", "SlotOwner", "find_slot", "reassign_slots"]
--- a/tests/core/claims/test_claims.py
+++ b/tests/core/claims/test_claims.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from rig.keys import make_key
-from vaneturn_core.claims.ledger import CLOCK_MARGIN, REMEMBERED, SlotLedger, Verdict, read_key_time
-from vaneturn_core.claims.slots import OWNERS, SLOTS, SlotMap, find_slot, reassign_slots
+from vaneturn_core.claims.ledger import CLOCK_MARGIN_S, KEY_RETENTION_S, SlotLedger, Verdict, read_key_time
+from vaneturn_core.claims.slots import MAX_OWNERS, SLOTS, SlotMap, find_slot, reassign_slots
 from vaneturn_core.identifiers import CustomerName, DataHall, NodeId, RepeatKey, VmId
 from vaneturn_core.membership.member import Member
 
@@ -23,10 +23,10 @@
 
 
 @given(st.floats(1e9, 2e9))
-def test_key_tells_its_time(made_at: float) -> None:
-    read = read_key_time(make_key(made_at))
+def test_key_tells_its_time(created_at: float) -> None:
+    read = read_key_time(make_key(created_at))
     assert read is not None
-    assert abs(read - made_at) <= 0.001
+    assert abs(read - created_at) <= 0.001
 
 
 def test_key_of_another_kind_has_no_time() -> None:
@@ -44,7 +44,7 @@
             continue
         assert wanted.epoch == present.epoch + 1
         assert len(wanted.slots) == SLOTS
-        assert len(wanted.owners) <= OWNERS
+        assert len(wanted.owners) <= MAX_OWNERS
         for slot in range(SLOTS):
             owner, before = wanted.find_owner(slot), present.find_owner(slot)
             assert owner is not None
@@ -53,18 +53,18 @@
         present = wanted
 
 
-@given(st.floats(0, 100), st.floats(0, 100), st.floats(-CLOCK_MARGIN, CLOCK_MARGIN))
+@given(st.floats(0, 100), st.floats(0, 100), st.floats(-CLOCK_MARGIN_S, CLOCK_MARGIN_S))
 def test_key_is_never_won_at_two_owners_in_turn(taken: float, served: float, skew: float) -> None:
     """The first owner serves until the second takes over; the clock skew of the key is within the margin."""
     base = 1e9
     first, second = SlotLedger(taken_at=base), SlotLedger(taken_at=base + taken + served)
     claimed_at = base + taken
-    made_at = claimed_at + skew
-    key = make_key(made_at)
-    won = first.claim(CUSTOMER, key, "a", made_at, claimed_at) is Verdict.WON
-    for later in (0.0, 1.0, CLOCK_MARGIN, 60.0, REMEMBERED, 10 * REMEMBERED):
+    created_at = claimed_at + skew
+    key = make_key(created_at)
+    won = first.claim(CUSTOMER, key, "a", created_at, claimed_at) is Verdict.WON
+    for later in (0.0, 1.0, CLOCK_MARGIN_S, 60.0, KEY_RETENTION_S, 10 * KEY_RETENTION_S):
         now = second.taken_at + later
-        assert not (won and second.claim(CUSTOMER, key, "b", made_at, now) is Verdict.WON)
+        assert not (won and second.claim(CUSTOMER, key, "b", created_at, now) is Verdict.WON)
 
 
 def test_repeat_of_one_claim_is_won_again_and_another_is_not() -> None:
@@ -84,7 +84,7 @@
     for number in range(20_000):
         now = 100.0 + number
         ledger.claim(CUSTOMER, make_key(now, number), str(number), now, now)
-    assert len(ledger) < REMEMBERED + 1100 + CLOCK_MARGIN
+    assert len(ledger) < KEY_RETENTION_S + 1100 + CLOCK_MARGIN_S
 
 
 def test_keys_spread_over_the_slots() -> None:
--- a/tests/rig/mechanisms.py
+++ b/tests/rig/mechanisms.py
@@ -132,8 +132,8 @@
         (
             Edit(
                 "core/src/vaneturn_core/claims/ledger.py",
-                "if made_at <= self.taken_at + CLOCK_MARGIN or made_at < now - REMEMBERED:",
-                "if made_at < now - REMEMBERED:",
+                "if created_at <= self.taken_at + CLOCK_MARGIN_S or created_at < now - KEY_RETENTION_S:",
+                "if created_at < now - KEY_RETENTION_S:",
             ),
         ),
     ),
