--- a/packages/core/src/vaneturn_core/membership/table.py
+++ b/packages/core/src/vaneturn_core/membership/table.py
@@ -15,7 +15,7 @@
 
 RETRANSMIT_FACTOR: Final = 3.0  # each change is sent this many times the binary logarithm of the member count
 SUSPICION_FACTOR: Final = 4.0  # seconds, times the greater of 1 and the decimal logarithm of the member count
-REMEMBER_DEAD: Final = 7200.0  # seconds; regions that were partitioned for an hour can still rejoin
+DEAD_RETENTION_S: Final = 7200.0  # regions that were partitioned for an hour can still rejoin
 MAX_DEAD: Final = 256
 
 
@@ -36,7 +36,7 @@
         """List the members that are not dead, including this node."""
         return [member for member in self._members.values() if member.state is not MemberState.DEAD]
 
-    def list_staying(self) -> list[Member]:
+    def list_active(self) -> list[Member]:
         """List the members that work is divided among: not dead and not stopping."""
         return [member for member in self.list_alive() if not member.is_stopping]
 
@@ -53,7 +53,7 @@
         member = self._members.get(node)
         return member if member is not None and member.state is not MemberState.DEAD else None
 
-    def has_heard_of(self, node: NodeId) -> bool:
+    def is_known(self, node: NodeId) -> bool:
         """Tell whether a node is known, even if only as dead."""
         return node in self._members
 
@@ -102,21 +102,21 @@
     def expire(self) -> None:
         """Declare suspects dead that did not refute in time, and remove members that have been dead for long."""
         now = self._clock()
-        timeout = self.suspicion_time()
+        timeout = self.compute_suspicion_time()
         for node, since in list(self._state_since.items()):
             member = self._members[node]
             if member.state is MemberState.SUSPECT and now - since >= timeout:
                 self._store_member(msgspec.structs.replace(member, state=MemberState.DEAD))
-            elif member.state is MemberState.DEAD and now - since >= REMEMBER_DEAD:
+            elif member.state is MemberState.DEAD and now - since >= DEAD_RETENTION_S:
                 self._forget(node)
         for member in self.list_dead()[:-MAX_DEAD]:
             self._forget(member.node)
 
-    def suspicion_time(self) -> float:
+    def compute_suspicion_time(self) -> float:
         """Compute the seconds that a suspect has to refute."""
         return SUSPICION_FACTOR * max(1.0, math.log10(len(self.list_alive())))
 
-    def retire(self) -> None:
+    def announce_stopping(self) -> None:
         """Announce that this node will stop, so that the others take over its share of the work."""
         self.own = msgspec.structs.replace(self.own, incarnation=self.own.incarnation + 1, is_stopping=True)
         self._store_member(self.own)
@@ -144,12 +144,12 @@
         self._probe_order = peers
         return self.find(self._probe_order.pop())
 
-    def pick_helpers(self, target: NodeId, count: int) -> list[Member]:
-        """Pick members that probe the target for this node."""
-        others = [member for member in self.list_peers() if member.node != target]
+    def pick_random_peers(self, excluded: NodeId, count: int) -> list[Member]:
+        """Pick random members other than this node and the excluded one."""
+        others = [member for member in self.list_peers() if member.node != excluded]
         return self._rng.sample(others, min(count, len(others)))
 
-    def take_tellings(self, limit: int) -> list[Member]:
+    def take_changes(self, limit: int) -> list[Member]:
         """Take the changes to send with the next message, those sent least often first."""
         max_sends = math.ceil(RETRANSMIT_FACTOR * math.log2(len(self._members) + 1))
         selected = sorted(self._pending_changes, key=lambda node: self._pending_changes[node])[:limit]
@@ -159,9 +159,9 @@
                 del self._pending_changes[node]
         return [self._members[node] for node in selected]
 
-    def is_chosen(self, role: str, count: int) -> bool:
+    def has_role(self, role: str, count: int) -> bool:
         """Tell whether this node has a role in its data hall; nodes with the same view agree."""
-        members = self.list_staying() or self.list_alive()  # if all nodes are stopping, they keep their roles
+        members = self.list_active() or self.list_alive()  # if all nodes are stopping, they keep their roles
         hall = [member for member in members if member.data_hall == self.own.data_hall]
         ranked = sorted(hall, key=lambda member: xxhash.xxh3_64_intdigest(f"{role} {member.node}".encode()))
         return self.own.node in {member.node for member in ranked[:count]}
--- a/packages/node/src/vaneturn_node/claims/ownership.py
+++ b/packages/node/src/vaneturn_node/claims/ownership.py
@@ -65,7 +65,7 @@
 
     def _has_part(self) -> bool:
         is_asked = read_clock() - self._asked_at < ASKED_AGE
-        return is_asked or bool(self._accept_from) or not self.map.slots or self._table.is_chosen("slots", ASSIGNERS)
+        return is_asked or bool(self._accept_from) or not self.map.slots or self._table.has_role("slots", ASSIGNERS)
 
     async def refresh(self, wait: float) -> bool:
         """Confirm the map, or take the newer one; false when the service gave no answer."""
@@ -118,7 +118,7 @@
             asked = self.map.owners
             present = await self._unmet.find_present(asked)
             if asked == self.map.owners:  # a newer map may have come meanwhile
-                return reassign_slots(self.map, self._table.list_staying(), present)
+                return reassign_slots(self.map, self._table.list_active(), present)
 
     async def hand_over(self, client: PeerClient) -> None:
         """At a planned stop give each slot with its claims to another node, so that no key has to be refused.
--- a/packages/node/src/vaneturn_node/claims/unmet.py
+++ b/packages/node/src/vaneturn_node/claims/unmet.py
@@ -42,14 +42,14 @@
 
     def is_settled(self) -> bool:
         """Tell whether this node has known the same nodes for a while, so that a first map may name them."""
-        known = frozenset(member.node for member in self._table.list_staying())
+        known = frozenset(member.node for member in self._table.list_active())
         if known != self._known:
             self._known, self._known_since = known, read_clock()
         return read_clock() - self._known_since >= SETTLE_TIME
 
     async def find_present(self, owners: Iterable[SlotOwner]) -> frozenset[NodeId]:
         """Ask the owners that were never heard of; gives those that may live without this node having met them."""
-        unmet = [owner for owner in owners if not self._table.has_heard_of(owner.node)]
+        unmet = [owner for owner in owners if not self._table.is_known(owner.node)]
         self._unmet_since = {owner.node: self._unmet_since.get(owner.node, read_clock()) for owner in unmet}
         present = {owner.node for owner in unmet}
         async with anyio.create_task_group() as tasks:
@@ -62,7 +62,7 @@
         member = await self._introduce(owner.address)
         if member is not None:
             self._table.merge([member])
-        if member is None and read_clock() - since < self._table.suspicion_time():
+        if member is None and read_clock() - since < self._table.compute_suspicion_time():
             return
         present.discard(owner.node)
         extra = {"owner": owner.node, "answered": member.node if member is not None else None}
--- a/packages/node/src/vaneturn_node/daemon.py
+++ b/packages/node/src/vaneturn_node/daemon.py
@@ -83,7 +83,7 @@
         table = MemberTable(own, random.Random(node), read_clock)
         runtime = _make_runtime(settings, table, client, tasks)
         peers = make_peers(runtime, table)
-        follower = ConfigurationFollower(runtime.store, runtime.in_force, lambda: table.is_chosen("watch", WATCHERS))
+        follower = ConfigurationFollower(runtime.store, runtime.in_force, lambda: table.has_role("watch", WATCHERS))
         tasks.start_soon(peers.run)
         placer = Placer(runtime.tenure, runtime.in_force, runtime.pool, runtime.healths, runtime.metrics)
         tasks.start_soon(follower.run)
@@ -128,7 +128,7 @@
         ownership=ownership,
         tenure=Tenure(store, table),
         peer_client=peer_client,
-        admission=Admission(metrics, placement.read_bound, lambda: len(table.list_staying())),
+        admission=Admission(metrics, placement.read_bound, lambda: len(table.list_active())),
         retry_budget=RetryBudget(),
         healths=healths,
         pool=pool,
--- a/packages/node/src/vaneturn_node/peers/gossip.py
+++ b/packages/node/src/vaneturn_node/peers/gossip.py
@@ -81,7 +81,7 @@
 
     async def retire(self) -> None:
         """Tell that this node will stop."""
-        self.table.retire()
+        self.table.announce_stopping()
         await self.announce()
 
     async def stop(self) -> None:
@@ -91,7 +91,7 @@
 
     async def announce(self) -> None:
         """Tell some members at once; they tell others in turn."""
-        for member in self.table.pick_helpers(self.table.own.node, FANOUT):
+        for member in self.table.pick_random_peers(self.table.own.node, FANOUT):
             await self._send(member.address, Ping(next(self._numbers), self._tell()))
 
     def announce_soon(self) -> None:
@@ -124,7 +124,7 @@
                 await acked.wait()
             if acked.is_set():
                 return True
-            for helper in self.table.pick_helpers(target.node, HELPERS):
+            for helper in self.table.pick_random_peers(target.node, HELPERS):
                 await self._send(helper.address, PingFor(number, target.address, self._tell()))
             with anyio.move_on_after(INDIRECT_TIMEOUT):
                 await acked.wait()
@@ -191,9 +191,9 @@
     def _tell(self, asked: Telling | None = None) -> Telling:
         """Make what rides on a datagram; the answer to a node that tells of itself tells it of some members."""
         own = self.table.own
-        members = self.table.take_tellings(MAX_TELLINGS)
+        members = self.table.take_changes(MAX_TELLINGS)
         if asked is not None and own not in members and any(member.address == asked.sender for member in asked.members):
-            others = self.table.pick_helpers(own.node, max(0, MAX_TELLINGS - len(members) - 1))
+            others = self.table.pick_random_peers(own.node, max(0, MAX_TELLINGS - len(members) - 1))
             members = [*members, own, *(other for other in others if other not in members)]
         return Telling(self._read_revision(), own.address, members, sorted(self._leaving))
 
--- a/packages/node/src/vaneturn_node/placing/tenure.py
+++ b/packages/node/src/vaneturn_node/placing/tenure.py
@@ -77,7 +77,7 @@
         while not self._is_stopping:
             if self._is_holder():
                 await self._keep()
-            elif self._table.is_chosen("placer", CANDIDATES):
+            elif self._table.has_role("placer", CANDIDATES):
                 await self._await_turn()
             else:
                 await anyio.sleep(IDLE)
--- a/tests/core/membership/test_table.py
+++ b/tests/core/membership/test_table.py
@@ -9,7 +9,7 @@
 
 from vaneturn_core.identifiers import DataHall, NodeId, VmId
 from vaneturn_core.membership.member import Member, MemberState
-from vaneturn_core.membership.table import REMEMBER_DEAD, MemberTable
+from vaneturn_core.membership.table import DEAD_RETENTION_S, MemberTable
 
 
 class Clock:
@@ -61,7 +61,7 @@
     table.suspect(NodeId("a"))
     table.suspect(NodeId("b"))
     table.merge([make_member("b", 1)])
-    clock.now = table.suspicion_time()
+    clock.now = table.compute_suspicion_time()
     table.expire()
     assert table.find(NodeId("a")) is None
     assert table.find(NodeId("b")) is not None
@@ -72,9 +72,9 @@
     table.merge([make_member("a")])
     table.merge([make_member("a", 0, MemberState.DEAD)])
     for _ in range(50):
-        table.take_tellings(8)
+        table.take_changes(8)
     table.merge([make_member("a")])
-    assert make_member("a", 0, MemberState.DEAD) in table.take_tellings(8)
+    assert make_member("a", 0, MemberState.DEAD) in table.take_changes(8)
 
 
 def test_dead_members_are_forgotten_in_the_end() -> None:
@@ -82,7 +82,7 @@
     table = make_table(clock)
     table.merge([make_member("a")])
     table.merge([make_member("a", 0, MemberState.DEAD)])
-    clock.now = REMEMBER_DEAD
+    clock.now = DEAD_RETENTION_S
     table.expire()
     assert not table.list_dead()
 
@@ -107,7 +107,7 @@
     for member in members:
         table = MemberTable(member, Random(1), Clock())
         table.merge(members)
-        chosen += table.is_chosen("watch", 4)
+        chosen += table.has_role("watch", 4)
     assert chosen == 4
 
 
@@ -115,11 +115,11 @@
     own, other = make_table(), MemberTable(make_member("other"), Random(1), Clock())
     own.merge([other.own])
     other.merge([own.own])
-    other.retire()
+    other.announce_stopping()
     own.merge([other.own])
     assert other.own.node in {member.node for member in own.list_peers()}
-    assert other.own.node not in {member.node for member in own.list_staying()}
-    assert not other.is_chosen("watch", 4)
+    assert other.own.node not in {member.node for member in own.list_active()}
+    assert not other.has_role("watch", 4)
     other.merge([make_member("other", other.own.incarnation, MemberState.SUSPECT)])
     assert other.own.is_stopping
     assert other.own.state is MemberState.ALIVE
@@ -127,5 +127,5 @@
 
 def test_last_node_keeps_its_part_while_it_stops() -> None:
     table = make_table()
-    table.retire()
-    assert table.is_chosen("watch", 4)
+    table.announce_stopping()
+    assert table.has_role("watch", 4)
--- a/tests/node/test_gossip.py
+++ b/tests/node/test_gossip.py
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize("count", [0, 1, MAX_TELLINGS - 1, MAX_TELLINGS, 3 * MAX_TELLINGS])
 def test_answer_to_a_new_member_fits_a_datagram(count: int) -> None:
     table = MemberTable(make_member(0), Random(1), time.monotonic)
-    while table.take_tellings(1):
+    while table.take_changes(1):
         pass  # the node itself has been told of long ago
     table.merge([make_member(number) for number in range(1, count + 1)])
     gossip = Gossip(table, Sealer("a-key-that-is-long-enough"), [], lambda: Revision(1), Metrics())
--- a/tests/node/test_ownership.py
+++ b/tests/node/test_ownership.py
@@ -113,7 +113,7 @@
     """Let owners say that they will stop, and all others hear of it."""
     for index in indexes:
         stopping = owners[make_member(index).address]._table
-        stopping.retire()
+        stopping.announce_stopping()
         for owner in owners.values():
             owner._table.merge([stopping.own])
 
@@ -208,7 +208,7 @@
     store = FakeStore()
     members = [make_member(index) for index in range(3)]
     owners = make_owners(store, 3)
-    idle = next(owner for owner in owners.values() if not owner._table.is_chosen("slots", module.ASSIGNERS))
+    idle = next(owner for owner in owners.values() if not owner._table.has_role("slots", module.ASSIGNERS))
     others = [member for member in members if member.node != idle._table.own.node]
     without = reassign_slots(SlotMap(), others)
     store.value, store.version = msgspec.json.encode(without), StoreVersion(1)
--- a/tests/node/test_unmet.py
+++ b/tests/node/test_unmet.py
@@ -59,7 +59,7 @@
     unmet, table = make_unmet(Network(make_member(1)), clock)
     await unmet.find_present([OWNER])
     assert table.find(OWNER.node) is not None
-    assert reassign_slots(SlotMap(1, (OWNER,), (0,) * 64), table.list_staying()) is None
+    assert reassign_slots(SlotMap(1, (OWNER,), (0,) * 64), table.list_active()) is None
 
 
 async def test_owner_whose_address_has_another_node_is_gone_at_once(clock: Clock) -> None:
@@ -73,9 +73,9 @@
 async def test_owner_that_answers_nobody_is_gone_after_the_time_of_a_suspect(clock: Clock) -> None:
     unmet, table = make_unmet(Network(), clock)
     assert await unmet.find_present([OWNER]) == {OWNER.node}
-    clock.now += table.suspicion_time() / 2
+    clock.now += table.compute_suspicion_time() / 2
     assert await unmet.find_present([OWNER]) == {OWNER.node}
-    clock.now += table.suspicion_time() / 2
+    clock.now += table.compute_suspicion_time() / 2
     assert await unmet.find_present([OWNER]) == frozenset()
 
 
