--- a/bench/joins.py
+++ b/bench/joins.py
@@ -33,7 +33,7 @@
 from rig.ports import find_port
 from rig.processes import wait_until
 from vaneturn_core.configuration.schema import Server
-from vaneturn_core.engine.messages import ENCODER, ORDERS, REPLIES, Done, Reply, Step
+from vaneturn_core.engine.messages import ENCODER, ORDER_DECODER, REPLY_DECODER, Done, Reply, Step
 from vaneturn_core.identifiers import DataHall, SessionId, VmId
 from vaneturn_core.routing.health import ServerHealths
 from vaneturn_core.routing.hops import Hop
@@ -51,7 +51,7 @@
 def answer(data: bytes) -> bytes:
     replies: list[Reply] = [
         Done(order.session, order.attempt, order.position, order.count, 0, 8, ACTIVATION, 5, " w5", False, 0)  # noqa: FBT003
-        for order in ORDERS.decode(data)
+        for order in ORDER_DECODER.decode(data)
         if isinstance(order, Step)
     ]
     return ENCODER.encode(replies)
@@ -99,7 +99,7 @@
         async def run(session: int, position: int) -> object:
             content = ENCODER.encode([make_step(session, position)])
             response = await client.post(f"http://127.0.0.1:{port}/step", content=content)
-            return REPLIES.decode(response.content)
+            return REPLY_DECODER.decode(response.content)
 
         return await repeat(sessions, steps, run)
 
@@ -110,7 +110,7 @@
     async def run(session: int, position: int) -> object:
         await connections[session].send(ENCODER.encode([make_step(session, position)]))
         reply = await connections[session].recv()
-        return REPLIES.decode(reply if isinstance(reply, bytes) else reply.encode())
+        return REPLY_DECODER.decode(reply if isinstance(reply, bytes) else reply.encode())
 
     taken = await repeat(sessions, steps, run)
     for connection in connections:
--- a/packages/core/src/vaneturn_core/engine/messages.py
+++ b/packages/core/src/vaneturn_core/engine/messages.py
@@ -113,8 +113,8 @@
 Order = Open | Step | Close | Hold
 Reply = Done | Refused | Leaving | Holdings
 
-ORDERS: Final = msgspec.msgpack.Decoder(list[Order])
-REPLIES: Final = msgspec.msgpack.Decoder(list[Reply])
+ORDER_DECODER: Final = msgspec.msgpack.Decoder(list[Order])
+REPLY_DECODER: Final = msgspec.msgpack.Decoder(list[Reply])
 ENCODER: Final = msgspec.msgpack.Encoder()
 
 TOKEN_BYTES: Final = 4
@@ -123,8 +123,8 @@
     "CACHE_PATH",
     "ENCODER",
     "LINK_PATH",
-    "ORDERS",
-    "REPLIES",
+    "ORDER_DECODER",
+    "REPLY_DECODER",
     "TOKEN_BYTES",
     "Close",
     "Done",
--- a/packages/node/src/vaneturn_node/stages/link.py
+++ b/packages/node/src/vaneturn_node/stages/link.py
@@ -16,7 +16,7 @@
 from vaneturn_core.engine.messages import (
     ENCODER,
     LINK_PATH,
-    REPLIES,
+    REPLY_DECODER,
     Done,
     Hold,
     Holdings,
@@ -189,7 +189,7 @@
     async def _read(self, connection: ClientConnection) -> None:
         async for frame in connection:
             data = frame if isinstance(frame, bytes) else frame.encode()
-            for reply in REPLIES.decode(data):
+            for reply in REPLY_DECODER.decode(data):
                 if not self._take(reply):
                     return  # this link can no longer be trusted
 
--- a/tests/node/test_link.py
+++ b/tests/node/test_link.py
@@ -8,7 +8,7 @@
 
 from rig.ports import find_port
 from vaneturn_core.configuration.schema import Server
-from vaneturn_core.engine.messages import ENCODER, ORDERS, Done, Step
+from vaneturn_core.engine.messages import ENCODER, ORDER_DECODER, Done, Step
 from vaneturn_core.identifiers import DataHall, SessionId, VmId
 from vaneturn_core.routing.health import FAILURES_TO_EJECT, ServerHealths
 from vaneturn_core.routing.hops import Hop
@@ -35,7 +35,7 @@
     async def answer(connection: ServerConnection) -> None:
         received = 0
         async for frame in connection:
-            received += len(ORDERS.decode(frame if isinstance(frame, bytes) else frame.encode()))
+            received += len(ORDER_DECODER.decode(frame if isinstance(frame, bytes) else frame.encode()))
             if received == 2:
                 await connection.send(ENCODER.encode(replies))
 
@@ -89,7 +89,7 @@
     async def answer(connection: ServerConnection) -> None:
         received = 0
         async for frame in connection:
-            received += len(ORDERS.decode(frame if isinstance(frame, bytes) else frame.encode()))
+            received += len(ORDER_DECODER.decode(frame if isinstance(frame, bytes) else frame.encode()))
             if received == steps:
                 return
 
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -24,7 +24,7 @@
     CACHE_PATH,
     ENCODER,
     LINK_PATH,
-    ORDERS,
+    ORDER_DECODER,
     Close,
     Done,
     Hold,
@@ -295,7 +295,7 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._write, peer)
                 while True:
-                    for order in ORDERS.decode(await socket.receive_bytes()):
+                    for order in ORDER_DECODER.decode(await socket.receive_bytes()):
                         self.take(peer, order)
         except* (WebSocketDisconnect, RuntimeError):
             pass
