--- a/packages/core/src/vaneturn_core/limits/concurrency.py
+++ b/packages/core/src/vaneturn_core/limits/concurrency.py
@@ -22,9 +22,9 @@
     return max(MIN_LIMIT, math.ceil(IMBALANCE_HEADROOM * bound * token_time / max(1, nodes)))
 
 
-def weigh_class(weight: float, priority: int) -> float:
+def compute_class_weight(weight: float, priority: int) -> float:
     """Compute the queue weight of a class: each priority level halves its share under load, so that none starves."""
     return weight * 0.5**priority
 
 
-__all__ = ["compute_limit", "weigh_class"]
+__all__ = ["compute_class_weight", "compute_limit"]
--- a/packages/node/src/vaneturn_node/limits/admission.py
+++ b/packages/node/src/vaneturn_node/limits/admission.py
@@ -11,7 +11,7 @@
 
 from vaneturn_core.configuration.schema import Customer, Pipeline, WorkClass
 from vaneturn_core.identifiers import CustomerName, PipelineName
-from vaneturn_core.limits.concurrency import compute_limit, weigh_class
+from vaneturn_core.limits.concurrency import compute_class_weight, compute_limit
 from vaneturn_core.limits.fairqueue import FairQueue
 from vaneturn_core.outcomes import NotRun, Reason
 from vaneturn_node.metrics import Metrics
@@ -88,7 +88,7 @@
         if expected > work_class.max_wait:
             return NotRun(Reason.OVERLOAD, retry_after=expected)
         waiting = _Waiting()
-        place = gate.queue.push(flow, weigh_class(work_class.weight, work_class.priority), waiting)
+        place = gate.queue.push(flow, compute_class_weight(work_class.weight, work_class.priority), waiting)
         try:
             with anyio.move_on_after(work_class.max_wait):
                 await waiting.granted.wait()
--- a/tests/core/limits/test_limits.py
+++ b/tests/core/limits/test_limits.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from vaneturn_core.limits.concurrency import compute_limit, weigh_class
+from vaneturn_core.limits.concurrency import compute_class_weight, compute_limit
 from vaneturn_core.limits.fairqueue import FairQueue
 from vaneturn_core.limits.retrybudget import RetryBudget
 
@@ -59,4 +59,4 @@
 
 
 def test_a_step_of_priority_halves_the_share() -> None:
-    assert weigh_class(1.0, 0) == 2 * weigh_class(1.0, 1)
+    assert compute_class_weight(1.0, 0) == 2 * compute_class_weight(1.0, 1)
