--- a/packages/core/src/vaneturn_core/routing/health.py
+++ b/packages/core/src/vaneturn_core/routing/health.py
@@ -143,14 +143,14 @@
         self[vm].leaving.discard(source)
         self._notify()
 
-    def list_said_by(self, source: LeavingSource) -> frozenset[VmId]:
+    def list_reported_by(self, source: LeavingSource) -> frozenset[VmId]:
         """List the servers that one source reports as leaving."""
         return frozenset(vm for vm, health in self._servers.items() if source in health.leaving)
 
     def replace_leaving(self, source: LeavingSource, vms: Iterable[VmId]) -> None:
         """Replace the set of servers that one source reports as leaving."""
         reported = set(vms)
-        before = self.list_said_by(source)
+        before = self.list_reported_by(source)
         for vm in before - reported:
             self[vm].leaving.discard(source)
         for vm in reported - before:
@@ -162,11 +162,11 @@
         """List the servers that must not get new work because they are leaving."""
         return frozenset(vm for vm, health in self._servers.items() if health.leaving)
 
-    def take_rest(self, vm: VmId, seconds: float) -> None:
+    def record_rest(self, vm: VmId, seconds: float) -> None:
         """Record that a server asks for no new work for a time; of several requests the latest end applies."""
         self[vm].rest_until = max(self[vm].rest_until, self._clock() + seconds)
 
-    def compute_rest(self, vm: VmId) -> float:
+    def compute_remaining_rest(self, vm: VmId) -> float:
         """Compute the remaining seconds for which a server asks for no new work."""
         return max(0.0, self[vm].rest_until - self._clock())
 
--- a/packages/node/src/vaneturn_node/http/services.py
+++ b/packages/node/src/vaneturn_node/http/services.py
@@ -97,7 +97,7 @@
     async def _try_servers(self, *, repeatable: bool) -> Outcome:
         """Try servers in turn: after no run always, after an unknown run only if the call may be repeated."""
         outcome: Outcome = NotRun(Reason.NO_ROUTE)
-        rests = [self._runtime.healths.compute_rest(vm) for vm in self._service.servers]
+        rests = [self._runtime.healths.compute_remaining_rest(vm) for vm in self._service.servers]
         if rests and min(rests) > 0:
             return NotRun(Reason.OVERLOAD, retry_after=min(rests))
         budget = self._runtime.retry_budget
@@ -115,7 +115,7 @@
         """Rank the usable servers: the less loaded of two random ones first."""
         healths = self._runtime.healths
         leaving = healths.list_leaving()
-        usable = [vm for vm in self._service.servers if vm not in leaving and not healths.compute_rest(vm)]
+        usable = [vm for vm in self._service.servers if vm not in leaving and not healths.compute_remaining_rest(vm)]
         random.shuffle(usable)
         usable[:2] = sorted(usable[:2], key=lambda vm: healths[vm].in_progress)
         ejected = healths.list_ejected()
@@ -148,7 +148,7 @@
         retry_after = response.headers.get(RETRY_AFTER)
         seconds = parse_decimal(retry_after.encode()) if retry_after is not None else None
         if response.status_code in _TURNED_AWAY and seconds is not None:
-            self._runtime.healths.take_rest(vm, min(seconds, MAX_REST))
+            self._runtime.healths.record_rest(vm, min(seconds, MAX_REST))
             logger.info("server asked for rest", extra={"vm": vm, "seconds": seconds})
         return Completed(response.status_code, response.headers.get("Content-Type", ""), response.content, retry_after)
 
--- a/packages/node/src/vaneturn_node/peers/sharing.py
+++ b/packages/node/src/vaneturn_node/peers/sharing.py
@@ -50,7 +50,7 @@
         self._gossip.announce_soon()
 
     def _tell_leaving(self) -> None:
-        self._gossip.tell_leaving(self._healths.list_said_by(LeavingSource.SERVER))
+        self._gossip.tell_leaving(self._healths.list_reported_by(LeavingSource.SERVER))
 
     def _note_leaving(self, vm: VmId) -> None:
         self._marks[vm] = read_clock() + MARK_LIFE
