--- a/packages/core/src/vaneturn_core/configuration/document.py
+++ b/packages/core/src/vaneturn_core/configuration/document.py
@@ -44,7 +44,7 @@
     return msgspec.structs.replace(declared, revision=change.revision, changes=kept)
 
 
-def next_revision(*known: Revision) -> Revision:
+def compute_next_revision(*known: Revision) -> Revision:
     """Return the revision that follows the highest known one."""
     return Revision(max(known, default=0) + 1)
 
@@ -57,11 +57,11 @@
 __all__ = [
     "CONFIGURATION_KEY",
     "KEPT_CHANGES",
+    "compute_next_revision",
     "decode_configuration",
     "describe_schema",
     "digest_configuration",
     "encode_configuration",
     "find_change",
-    "next_revision",
     "record_change",
 ]
--- a/packages/node/src/vaneturn_node/configuration/changes.py
+++ b/packages/node/src/vaneturn_node/configuration/changes.py
@@ -12,10 +12,10 @@
 from vaneturn_core.configuration.check import check_configuration
 from vaneturn_core.configuration.document import (
     CONFIGURATION_KEY,
+    compute_next_revision,
     decode_configuration,
     encode_configuration,
     find_change,
-    next_revision,
     record_change,
 )
 from vaneturn_core.configuration.schema import Change, ClaimMode, Configuration
@@ -111,7 +111,7 @@
         return await self._write(proposal, newest, stored.version)
 
     async def _write(self, proposal: Proposal, newest: Configuration, version: StoreVersion) -> ChangeResult:
-        revision = next_revision(newest.revision)
+        revision = compute_next_revision(newest.revision)
         change = Change(
             id=proposal.id,
             revision=revision,
