--- a/packages/core/src/vaneturn_core/placing/parts.py
+++ b/packages/core/src/vaneturn_core/placing/parts.py
@@ -66,7 +66,7 @@
     return {vm: frozenset(parts) for vm, parts in grouped.items()}
 
 
-def list_lacking(pipeline: Pipeline, held: Mapping[VmId, Collection[Part]]) -> set[VmId]:
+def list_lacking_servers(pipeline: Pipeline, held: Mapping[VmId, Collection[Part]]) -> set[VmId]:
     """List the servers of a pipeline that lack some of its parts; servers missing from `held` count as complete."""
     return {vm for vm, wanted in group_parts([pipeline]).items() if vm in held and not is_holding(held[vm], wanted)}
 
@@ -82,4 +82,13 @@
     return sum(layer_bytes.get(part.model, 0) * (part.end - part.first) for part in parts)
 
 
-__all__ = ["Holdings", "Part", "count_bytes", "group_parts", "is_holding", "list_lacking", "list_versions", "make_part"]
+__all__ = [
+    "Holdings",
+    "Part",
+    "count_bytes",
+    "group_parts",
+    "is_holding",
+    "list_lacking_servers",
+    "list_versions",
+    "make_part",
+]
--- a/packages/core/src/vaneturn_core/placing/plan.py
+++ b/packages/core/src/vaneturn_core/placing/plan.py
@@ -9,7 +9,15 @@
 
 from vaneturn_core.configuration.schema import Configuration, Pipeline, Server
 from vaneturn_core.identifiers import PipelineName, VmId
-from vaneturn_core.placing.parts import Holdings, Part, count_bytes, group_parts, list_lacking, list_versions, make_part
+from vaneturn_core.placing.parts import (
+    Holdings,
+    Part,
+    count_bytes,
+    group_parts,
+    list_lacking_servers,
+    list_versions,
+    make_part,
+)
 from vaneturn_core.routing.flow import compute_flow
 
 KEPT_SHARE: Final = 0.5  # of a pipeline's bound with all servers; must remain available when a server is emptied
@@ -145,7 +153,7 @@
         Servers that this node cannot reach may still serve the previous version for all other nodes.
         """
         newest = next(pipeline for pipeline in self._configuration.pipelines if pipeline.name == previous.name)
-        lacking = list_lacking(newest, self._held)
+        lacking = list_lacking_servers(newest, self._held)
         if any(self._takes_orders(vm) for vm in lacking):
             return False
         return not lacking or compute_flow(newest, lacking | self._unusable).bound > 0
@@ -208,7 +216,7 @@
     def _compute_capacity(self, pipeline: Pipeline, without: frozenset[VmId]) -> float:
         """Compute the current capacity of a pipeline without some servers, summed over its versions."""
         return sum(
-            compute_flow(version, list_lacking(version, self._held) | without).bound
+            compute_flow(version, list_lacking_servers(version, self._held) | without).bound
             for version in list_versions(pipeline)
         )
 
--- a/packages/node/src/vaneturn_node/answers/placement.py
+++ b/packages/node/src/vaneturn_node/answers/placement.py
@@ -7,7 +7,7 @@
 
 from vaneturn_core.configuration.schema import Configuration, Pipeline
 from vaneturn_core.identifiers import PipelineName, VmId
-from vaneturn_core.placing.parts import Part, list_lacking, list_versions
+from vaneturn_core.placing.parts import Part, list_lacking_servers, list_versions
 from vaneturn_core.placing.versions import choose_version
 from vaneturn_core.routing.choice import choose_route
 from vaneturn_core.routing.flow import Flow, compute_flow
@@ -122,7 +122,7 @@
         return {vm: holdings.held for vm, holdings in self._pool.list_holdings().items()}
 
     def _compute_flow(self, pipeline: Pipeline, held: Mapping[VmId, Collection[Part]]) -> Flow:
-        unusable = self._healths.list_leaving() | list_lacking(pipeline, held)
+        unusable = self._healths.list_leaving() | list_lacking_servers(pipeline, held)
         return compute_flow(pipeline, unusable)
 
 
--- a/tests/core/placing/test_plan.py
+++ b/tests/core/placing/test_plan.py
@@ -12,7 +12,7 @@
 from vaneturn_core.configuration.check import check_configuration
 from vaneturn_core.configuration.schema import Configuration, Pipeline, Server, Stage
 from vaneturn_core.identifiers import DataHall, PipelineName, VmId
-from vaneturn_core.placing.parts import Holdings, Part, count_bytes, group_parts, list_lacking, list_versions
+from vaneturn_core.placing.parts import Holdings, Part, count_bytes, group_parts, list_lacking_servers, list_versions
 from vaneturn_core.placing.plan import HoldOrder, plan_holdings
 from vaneturn_core.placing.versions import choose_version
 from vaneturn_core.routing.flow import compute_flow
@@ -83,7 +83,7 @@
     def carry(self, pipeline: Pipeline) -> float:
         total = 0.0
         for version in list_versions(pipeline):
-            lacking = list_lacking(version, {vm: known.held for vm, known in self.said.items()})
+            lacking = list_lacking_servers(version, {vm: known.held for vm, known in self.said.items()})
             total += compute_flow(version, lacking).bound
         return total
 
--- a/tests/rig/mechanisms.py
+++ b/tests/rig/mechanisms.py
@@ -80,8 +80,8 @@
         (
             Edit(
                 f"{NODE}/answers/placement.py",
-                "unusable = self._healths.list_leaving() | list_lacking",
-                "unusable = list_lacking",
+                "unusable = self._healths.list_leaving() | list_lacking_servers",
+                "unusable = list_lacking_servers",
             ),
             Edit(
                 f"{NODE}/answers/placement.py",
