--- a/tests/core/placing/test_plan.py
+++ b/tests/core/placing/test_plan.py
@@ -54,48 +54,48 @@
         self.rng = rng
         self.memory = {server.vm: server.memory for server in configuration.servers}
         self.configuration = configuration
-        self.said = {server.vm: Holdings(0, (), (), ()) for server in configuration.servers}
+        self.reports = {server.vm: Holdings(0, (), (), ()) for server in configuration.servers}
 
-    def take(self, order: HoldOrder) -> None:
-        known = self.said[order.vm]
-        held = tuple(part for part in known.held if part in order.parts)
-        dropped = tuple(part for part in known.held if part not in order.parts)
+    def apply_order(self, order: HoldOrder) -> None:
+        report = self.reports[order.vm]
+        held = tuple(part for part in report.held if part in order.parts)
+        dropped = tuple(part for part in report.held if part not in order.parts)
         loading = tuple(part for part in order.parts if part not in held)
-        self.said[order.vm] = Holdings(1, held, loading, (*known.ending, *dropped))
+        self.reports[order.vm] = Holdings(1, held, loading, (*report.ending, *dropped))
 
     def advance(self) -> None:
-        for vm, known in self.said.items():
-            ending = known.ending if self.rng.random() < 0.5 else ()
-            held, loading = known.held, known.loading
+        for vm, report in self.reports.items():
+            ending = report.ending if self.rng.random() < 0.5 else ()
+            held, loading = report.held, report.loading
             if loading and self.rng.random() < 0.5 and self._fits(vm, (*held, *ending, loading[0])):
                 held, loading = (*held, loading[0]), loading[1:]
-            self.said[vm] = Holdings(1, held, loading, ending)
+            self.reports[vm] = Holdings(1, held, loading, ending)
 
     def _fits(self, vm: VmId, parts: tuple[Part, ...]) -> bool:
         return not self.memory[vm] or count_bytes(self.configuration, parts) <= self.memory[vm]
 
     def count_loading(self) -> int:
-        return sum(bool(known.loading) for known in self.said.values())
+        return sum(bool(report.loading) for report in self.reports.values())
 
     def has_ending(self) -> bool:
-        return any(known.ending for known in self.said.values())
+        return any(report.ending for report in self.reports.values())
 
-    def carry(self, pipeline: Pipeline) -> float:
+    def compute_capacity(self, pipeline: Pipeline) -> float:
         total = 0.0
         for version in list_versions(pipeline):
-            lacking = list_lacking_servers(version, {vm: known.held for vm, known in self.said.items()})
+            lacking = list_lacking_servers(version, {vm: report.held for vm, report in self.reports.items()})
             total += compute_flow(version, lacking).bound
         return total
 
 
-def settle(configuration: Configuration, engines: Engines, least: float = 0.0) -> int:
+def run_until_settled(configuration: Configuration, engines: Engines, required: float = 0.0) -> int:
     """Carry out plans until nothing is left to order, load or end; return the number of rounds."""
     for number in range(MAX_ROUNDS):
-        plan = plan_holdings(configuration, engines.said)
+        plan = plan_holdings(configuration, engines.reports)
         for order in plan.orders:
-            engines.take(order)
+            engines.apply_order(order)
         assert engines.count_loading() <= configuration.loads_at_once
-        assert engines.carry(configuration.pipelines[0]) >= least
+        assert engines.compute_capacity(configuration.pipelines[0]) >= required
         if not plan.orders and not engines.count_loading() and not engines.has_ending():
             return number
         engines.advance()
@@ -106,108 +106,110 @@
 
 
 @given(shapes, st.integers(1, 2), st.integers(1, 5), st.integers(0, 1000))
-def test_rollout_ends_and_always_leaves_a_way(shape: tuple[list[int], int], memory: int, loads: int, seed: int) -> None:
+def test_rollout_ends_and_always_leaves_a_path(
+    shape: tuple[list[int], int], memory: int, loads: int, seed: int
+) -> None:
     configuration = make_configuration(*shape, memory, loads)
     assert not check_configuration(configuration)
     engines = Engines(configuration, Random(seed))
-    settle(configuration, engines)
+    run_until_settled(configuration, engines)
     newer = roll_out(configuration)
-    full = engines.carry(configuration.pipelines[0])
-    settle(newer, engines, least=full / 2 - 1e-6)
-    for vm, known in engines.said.items():
-        assert set(known.held) == group_parts(newer.pipelines)[vm]
+    full_capacity = engines.compute_capacity(configuration.pipelines[0])
+    run_until_settled(newer, engines, required=full_capacity / 2 - 1e-6)
+    for vm, report in engines.reports.items():
+        assert set(report.held) == group_parts(newer.pipelines)[vm]
 
 
-class FrozenEngines(Engines):
+class PartlyUnresponsiveEngines(Engines):
     """Engines of which one never answers.
 
     For some rounds after an order to it, the planner must assume that it took the order.
     """
 
-    PATIENCE = 10  # rounds
+    TIMEOUT_ROUNDS = 10
 
-    def __init__(self, configuration: Configuration, rng: Random, frozen: VmId) -> None:
+    def __init__(self, configuration: Configuration, rng: Random, unresponsive: VmId) -> None:
         super().__init__(configuration, rng)
-        self.frozen = frozen
+        self.unresponsive = unresponsive
         self.silent: frozenset[VmId] = frozenset()
-        self._really: Holdings | None = None
-        self._left = 0
-
-    def take(self, order: HoldOrder) -> None:
-        if order.vm != self.frozen:
-            super().take(order)
-        elif self._really is None:
-            known = self._really = self.said[order.vm]
-            self._left = self.PATIENCE
-            held = tuple(part for part in known.held if part in order.parts)
+        self._actual: Holdings | None = None
+        self._rounds_left = 0
+
+    def apply_order(self, order: HoldOrder) -> None:
+        if order.vm != self.unresponsive:
+            super().apply_order(order)
+        elif self._actual is None:
+            report = self._actual = self.reports[order.vm]
+            self._rounds_left = self.TIMEOUT_ROUNDS
+            held = tuple(part for part in report.held if part in order.parts)
             loading = tuple(part for part in order.parts if part not in held)
-            self.said[order.vm] = Holdings(1, held, loading, known.ending)
+            self.reports[order.vm] = Holdings(1, held, loading, report.ending)
 
     def advance(self) -> None:
-        assumed = self.said[self.frozen]
+        assumed = self.reports[self.unresponsive]
         super().advance()
-        self.said[self.frozen] = assumed
-        self._left -= 1
-        if self._really is not None and self._left <= 0:
-            self.said[self.frozen], self._really = self._really, None
-            self.silent = frozenset({self.frozen})
+        self.reports[self.unresponsive] = assumed
+        self._rounds_left -= 1
+        if self._actual is not None and self._rounds_left <= 0:
+            self.reports[self.unresponsive], self._actual = self._actual, None
+            self.silent = frozenset({self.unresponsive})
 
 
 @given(shapes, st.integers(1, 2), st.integers(2, 5), st.integers(0, 1000), st.data())
-def test_rollout_ends_on_all_others_beside_an_engine_that_answers_nothing(
+def test_unresponsive_engine_does_not_stop_the_rollout_on_the_others(
     shape: tuple[list[int], int], memory: int, loads: int, seed: int, data: st.DataObject
 ) -> None:
     configuration = make_configuration(*shape, memory, loads)
     vms = [server.vm for server in configuration.servers]
-    engines = FrozenEngines(configuration, Random(seed), data.draw(st.sampled_from(vms)))
-    engines.said = {vm: Holdings(1, tuple(group_parts(configuration.pipelines)[vm]), (), ()) for vm in vms}
+    engines = PartlyUnresponsiveEngines(configuration, Random(seed), data.draw(st.sampled_from(vms)))
+    engines.reports = {vm: Holdings(1, tuple(group_parts(configuration.pipelines)[vm]), (), ()) for vm in vms}
     newer = roll_out(configuration)
     wanted = group_parts(newer.pipelines)
-    others = [vm for vm in vms if vm != engines.frozen]
-    least = min(engines.carry(newer.pipelines[0]) / 2, 100.0) - 1e-6
-    is_spare = shape[1] > 2 or memory > 1  # otherwise the only other server of the range is its last replica
+    others = [vm for vm in vms if vm != engines.unresponsive]
+    required = min(engines.compute_capacity(newer.pipelines[0]) / 2, 100.0) - 1e-6
+    has_spare_capacity = shape[1] > 2 or memory > 1  # otherwise the only other server of the range is its last replica
     for _ in range(MAX_ROUNDS):
-        for order in plan_holdings(newer, engines.said, silent=engines.silent).orders:
-            engines.take(order)
+        for order in plan_holdings(newer, engines.reports, silent=engines.silent).orders:
+            engines.apply_order(order)
         assert engines.count_loading() <= configuration.loads_at_once
-        assert engines.carry(newer.pipelines[0]) >= least or engines.frozen in engines.silent
-        if all(set(engines.said[vm].held) >= wanted[vm] for vm in others):
+        assert engines.compute_capacity(newer.pipelines[0]) >= required or engines.unresponsive in engines.silent
+        if all(set(engines.reports[vm].held) >= wanted[vm] for vm in others):
             return
         engines.advance()
-    assert not is_spare
+    assert not has_spare_capacity
 
 
-def test_silent_engines_of_a_whole_range_are_not_taken_for_lost() -> None:
+def test_unresponsive_engines_of_a_whole_range_are_not_treated_as_lost() -> None:
     """A range may be unresponsive only to the ordering node; the plan must keep enough capacity for the others."""
     configuration = make_configuration([6], 3, 1, 4)
     engines = Engines(configuration, Random(1))
-    settle(configuration, engines)
+    run_until_settled(configuration, engines)
     newer = roll_out(configuration)
     silent = {stage.vm for stage in newer.pipelines[0].stages if stage.first}
-    full = engines.carry(configuration.pipelines[0])
-    for order in plan_holdings(newer, engines.said, silent=silent).orders:
-        engines.take(order)
-    assert engines.carry(newer.pipelines[0]) >= full / 2
+    full_capacity = engines.compute_capacity(configuration.pipelines[0])
+    for order in plan_holdings(newer, engines.reports, silent=silent).orders:
+        engines.apply_order(order)
+    assert engines.compute_capacity(newer.pipelines[0]) >= full_capacity / 2
 
 
 def test_last_replica_is_not_emptied_for_a_version_that_does_not_fit_beside() -> None:
     configuration = make_configuration([6], 1, 1, 4)
     engines = Engines(configuration, Random(1))
-    settle(configuration, engines)
+    run_until_settled(configuration, engines)
     newer = roll_out(configuration)
-    settle(newer, engines, least=1.0)
-    assert plan_holdings(newer, engines.said).stuck
-    assert all(part.version == "1" for known in engines.said.values() for part in known.held)
+    run_until_settled(newer, engines, required=1.0)
+    assert plan_holdings(newer, engines.reports).stuck
+    assert all(part.version == "1" for report in engines.reports.values() for part in report.held)
 
 
 def test_leaving_servers_get_no_order() -> None:
     configuration = make_configuration([6], 2, 1, 4)
     engines = Engines(configuration, Random(1))
     vms = [server.vm for server in configuration.servers]
-    assert {order.vm for order in plan_holdings(configuration, engines.said, vms[:1]).orders} == set(vms[1:])
+    assert {order.vm for order in plan_holdings(configuration, engines.reports, vms[:1]).orders} == set(vms[1:])
 
 
-def test_version_that_only_unseen_servers_still_need_is_not_taken_from_the_others() -> None:
+def test_version_that_unreachable_servers_still_need_is_not_removed_from_the_others() -> None:
     """The ordering node has lost its links to one range, whose servers still serve the previous version to others.
 
     If that version counts as replaced, it is removed from the reachable servers and neither version has all its layers.
@@ -216,14 +218,14 @@
     pipeline = configuration.pipelines[0]
     newest, previous = (group_parts([version]) for version in list_versions(pipeline))
     engines = Engines(configuration, Random(1))
-    unseen = {stage.vm for stage in pipeline.stages if stage.first}
-    for vm in engines.said:
-        held = previous[vm] if vm in unseen else previous[vm] | newest[vm]
-        engines.said[vm] = Holdings(1, tuple(held), (), ())
-    before = engines.carry(pipeline)
-    for order in plan_holdings(configuration, engines.said, unseen).orders:
-        engines.take(order)
-    assert engines.carry(pipeline) == before
+    unreachable = {stage.vm for stage in pipeline.stages if stage.first}
+    for vm in engines.reports:
+        held = previous[vm] if vm in unreachable else previous[vm] | newest[vm]
+        engines.reports[vm] = Holdings(1, tuple(held), (), ())
+    before = engines.compute_capacity(pipeline)
+    for order in plan_holdings(configuration, engines.reports, unreachable).orders:
+        engines.apply_order(order)
+    assert engines.compute_capacity(pipeline) == before
 
 
 def test_memory_too_small_for_the_stages_is_a_fault() -> None:
@@ -239,6 +241,6 @@
         assert choose_version(affinity, "2", {"2": new + more, "1": max(0.0, old - more)}) == "2"
 
 
-def test_version_that_carries_nothing_is_not_chosen() -> None:
+def test_version_without_capacity_is_not_chosen() -> None:
     assert all(choose_version(f"session {number}", "2", {"2": 0.0, "1": 5.0}) == "1" for number in range(50))
     assert all(choose_version(f"session {number}", "2", {"2": 5.0, "1": 0.0}) == "2" for number in range(50))
--- a/tests/rig/mechanisms.py
+++ b/tests/rig/mechanisms.py
@@ -181,7 +181,7 @@
     ),
     Proof(
         "an engine that answers nothing holds up no rollout",
-        "tests/core/placing/test_plan.py::test_rollout_ends_on_all_others_beside_an_engine_that_answers_nothing",
+        "tests/core/placing/test_plan.py::test_unresponsive_engine_does_not_stop_the_rollout_on_the_others",
         (Edit(f"{CORE}/placing/plan.py", "self._silent = frozenset(silent)", "self._silent = frozenset()"),),
     ),
     Proof(
