--- a/tests/core/limits/test_limits.py
+++ b/tests/core/limits/test_limits.py
@@ -13,14 +13,14 @@
 
 
 @given(st.lists(st.sampled_from("abc"), max_size=50), st.data())
-def test_queue_gives_each_item_once(flows: list[str], data: st.DataObject) -> None:
+def test_queue_returns_each_item_once(flows: list[str], data: st.DataObject) -> None:
     queue: FairQueue[int] = FairQueue()
-    places = {index: queue.push(flow, 1.0, index) for index, flow in enumerate(flows)}
-    removed = data.draw(st.sets(st.sampled_from(sorted(places)))) if places else set()
-    assert all(queue.remove(places[index]) for index in removed)
-    assert not any(queue.remove(places[index]) for index in removed)
+    entries = {index: queue.push(flow, 1.0, index) for index, flow in enumerate(flows)}
+    removed = data.draw(st.sets(st.sampled_from(sorted(entries)))) if entries else set()
+    assert all(queue.remove(entries[index]) for index in removed)
+    assert not any(queue.remove(entries[index]) for index in removed)
     popped = [queue.pop() for _ in range(len(queue))]
-    assert sorted(popped) == sorted(set(places) - removed)
+    assert sorted(popped) == sorted(set(entries) - removed)
 
 
 @given(st.integers(1, 8), st.integers(1, 8))
@@ -35,7 +35,7 @@
         assert abs(served[flow] - 100 * weight / (first + second)) <= 2
 
 
-def test_light_flow_is_not_held_back_by_a_heavy_one() -> None:
+def test_light_flow_is_not_delayed_by_a_heavy_one() -> None:
     queue: FairQueue[str] = FairQueue()
     for number in range(1000):
         queue.push("heavy", 1.0, f"heavy {number}")
@@ -58,5 +58,5 @@
     assert nodes * compute_limit(bound, token_time, nodes) >= bound * token_time
 
 
-def test_a_step_of_priority_halves_the_share() -> None:
+def test_priority_level_halves_the_share() -> None:
     assert compute_class_weight(1.0, 0) == 2 * compute_class_weight(1.0, 1)
--- a/tests/core/membership/test_table.py
+++ b/tests/core/membership/test_table.py
@@ -30,18 +30,18 @@
     return MemberTable(make_member("own"), Random(1), clock or Clock())
 
 
-tellings = st.lists(
+report_lists = st.lists(
     st.builds(make_member, st.sampled_from("abc"), st.integers(0, 3), st.sampled_from(MemberState)), max_size=20
 )
 
 
-@given(tellings, st.randoms(use_true_random=False))
-def test_tables_agree_in_any_order(told: list[Member], shuffler: Random) -> None:
+@given(report_lists, st.randoms(use_true_random=False))
+def test_tables_agree_in_any_order(reports: list[Member], rng: Random) -> None:
     known = [make_member(name) for name in "abc"]
     first, second = make_table(), make_table()
-    first.merge([*known, *told])
-    shuffled = list(told)
-    shuffler.shuffle(shuffled)
+    first.merge([*known, *reports])
+    shuffled = list(reports)
+    rng.shuffle(shuffled)
     second.merge([*known, *shuffled])
     assert set(first.list_alive()) == set(second.list_alive())
 
@@ -67,7 +67,7 @@
     assert table.find(NodeId("b")) is not None
 
 
-def test_live_member_that_is_believed_dead_is_told_so() -> None:
+def test_live_member_known_as_dead_is_notified() -> None:
     table = make_table()
     table.merge([make_member("a")])
     table.merge([make_member("a", 0, MemberState.DEAD)])
@@ -77,7 +77,7 @@
     assert make_member("a", 0, MemberState.DEAD) in table.take_changes(8)
 
 
-def test_dead_members_are_forgotten_in_the_end() -> None:
+def test_dead_members_are_removed_after_the_retention_time() -> None:
     clock = Clock()
     table = make_table(clock)
     table.merge([make_member("a")])
@@ -94,24 +94,24 @@
     assert table.own.state is MemberState.DEAD
 
 
-def test_probe_order_reaches_everyone_once_a_round() -> None:
+def test_each_member_is_probed_once_per_round() -> None:
     table = make_table()
     table.merge([make_member(name) for name in "abcdef"])
     probed = [member.node for _ in range(6) if (member := table.pick_probe())]
     assert sorted(probed) == list("abcdef")
 
 
-def test_nodes_with_one_view_agree_on_the_chosen() -> None:
+def test_nodes_with_the_same_view_agree_on_roles() -> None:
     members = [make_member(f"node-{index}") for index in range(20)]
-    chosen = 0
+    holder_count = 0
     for member in members:
         table = MemberTable(member, Random(1), Clock())
         table.merge(members)
-        chosen += table.has_role("watch", 4)
-    assert chosen == 4
+        holder_count += table.has_role("watch", 4)
+    assert holder_count == 4
 
 
-def test_stopping_member_stays_a_peer_but_gets_no_part() -> None:
+def test_stopping_member_stays_a_peer_but_gets_no_role() -> None:
     own, other = make_table(), MemberTable(make_member("other"), Random(1), Clock())
     own.merge([other.own])
     other.merge([own.own])
@@ -125,7 +125,7 @@
     assert other.own.state is MemberState.ALIVE
 
 
-def test_last_node_keeps_its_part_while_it_stops() -> None:
+def test_last_node_keeps_its_role_while_it_stops() -> None:
     table = make_table()
     table.announce_stopping()
     assert table.has_role("watch", 4)
--- a/tests/core/routing/test_health.py
+++ b/tests/core/routing/test_health.py
@@ -45,7 +45,7 @@
         assert len(healths.list_ejected()) <= MAX_EJECTED_SHARE * len(SERVERS)
 
 
-def test_ejection_ends_and_grows_while_failures_go_on() -> None:
+def test_ejection_ends_and_grows_with_repeated_failures() -> None:
     clock = Clock()
     healths = make_healths(clock)
     for _ in range(FAILURES_TO_EJECT):
@@ -58,7 +58,7 @@
     assert healths.list_ejected() == {SERVERS[0]}
 
 
-def test_limit_falls_when_replies_slow_down_and_never_below_the_least() -> None:
+def test_limit_falls_when_replies_slow_down_but_not_below_the_minimum() -> None:
     health = ServerHealth()
     for _ in range(20):
         health.record_reply(0.01, 1, 0.0)
@@ -68,7 +68,7 @@
     assert MIN_LIMIT <= health.limit < before
 
 
-def test_slowness_is_forgotten_without_replies() -> None:
+def test_slowness_decays_without_replies() -> None:
     clock = Clock()
     healths = make_healths(clock)
     for _ in range(50):
@@ -79,11 +79,11 @@
 
 
 @pytest.mark.parametrize("source", LeavingSource)
-def test_any_source_bars_a_server_until_it_takes_its_word_back(source: LeavingSource) -> None:
+def test_any_source_marks_a_server_as_leaving_until_it_withdraws(source: LeavingSource) -> None:
     healths = make_healths()
-    heard: list[frozenset[VmId]] = []
-    healths.on_leaving(lambda: heard.append(healths.list_leaving()))
+    notified: list[frozenset[VmId]] = []
+    healths.on_leaving(lambda: notified.append(healths.list_leaving()))
     healths.mark_leaving(SERVERS[0], source)
     healths.mark_leaving(SERVERS[0], source)
     healths.unmark_leaving(SERVERS[0], source)
-    assert heard == [frozenset({SERVERS[0]}), frozenset()]
+    assert notified == [frozenset({SERVERS[0]}), frozenset()]
--- a/tests/core/routing/test_recovery.py
+++ b/tests/core/routing/test_recovery.py
@@ -39,7 +39,7 @@
     assert choose(4000, 1e7, 0.001) is Method.REBUILD
 
 
-def test_measured_bandwidth_goes_before_the_declared_one() -> None:
+def test_measured_bandwidth_takes_precedence_over_the_declared_one() -> None:
     links = LinkTable()
     links.declare([Link(halls=(OLD, NODE), latency=0.0, bandwidth=1e9)])
     fast = links.estimate_transfer(OLD, NODE, 1e6)
--- a/tests/core/routing/test_routes.py
+++ b/tests/core/routing/test_routes.py
@@ -65,7 +65,7 @@
 
 
 @given(pipelines, st.text(max_size=5))
-def test_route_is_the_same_on_every_node_and_survives_the_loss_of_others(pipeline: Pipeline, affinity: str) -> None:
+def test_route_is_the_same_on_every_node_and_independent_of_unused_servers(pipeline: Pipeline, affinity: str) -> None:
     flow = compute_flow(pipeline, ())
     route = choose_route(flow, LAYERS, affinity, IdleLoad(), ())
     assert route == choose_route(flow, LAYERS, affinity, IdleLoad(), ())
@@ -83,7 +83,7 @@
         assert flow.bound <= over * (1 + 1e-9)
 
 
-def test_bound_of_aligned_stages_is_the_narrowest() -> None:
+def test_bound_of_aligned_stages_is_that_of_the_narrowest_range() -> None:
     pipeline = make_pipeline([(0, 4, 100), (0, 4, 50), (4, 8, 80), (4, 8, 40)])
     assert compute_flow(pipeline, ()).bound == pytest.approx(120)
 
@@ -114,7 +114,7 @@
         pytest.param(0.06, False, id="alike"),
     ],
 )
-def test_preferred_server_is_left_only_for_one_known_to_be_faster(other: float, moves: bool) -> None:  # noqa: FBT001
+def test_preferred_server_is_replaced_only_by_a_server_known_to_be_faster(other: float, moves: bool) -> None:  # noqa: FBT001
     flow = compute_flow(make_pipeline([(0, 8, 100), (0, 8, 100)]), ())
     preferred = choose_route(flow, LAYERS, "session", IdleLoad(), ())
     assert preferred is not None
--- a/tests/core/test_settings.py
+++ b/tests/core/test_settings.py
@@ -11,7 +11,7 @@
 from vaneturn_core.settings import load_settings
 from vaneturn_node.__main__ import EXIT_SETTINGS, main
 
-GOOD = {
+VALID_SETTINGS = {
     "vm": "entry-1",
     "data_hall": "osborne",
     "http_address": "127.0.0.1:8080",
@@ -22,18 +22,20 @@
 }
 
 
-def write(folder: Path, **changes: object) -> Path:
+def write_settings(folder: Path, **changes: object) -> Path:
     path = folder / "node.json"
-    path.write_text(json.dumps({name: value for name, value in {**GOOD, **changes}.items() if value is not None}))
+    path.write_text(
+        json.dumps({name: value for name, value in {**VALID_SETTINGS, **changes}.items() if value is not None})
+    )
     return path
 
 
-def test_good_settings_pass(tmp_path: Path) -> None:
-    assert main(["--settings", str(write(tmp_path)), "--check"]) == 0
+def test_valid_settings_are_accepted(tmp_path: Path) -> None:
+    assert main(["--settings", str(write_settings(tmp_path)), "--check"]) == 0
 
 
 @pytest.mark.parametrize(
-    ("changes", "place"),
+    ("changes", "location"),
     [
         pytest.param({"vm": None}, "vm", id="missing"),
         pytest.param({"http_address": "localhost:80"}, "$.http_address", id="a name in place of an IP number"),
@@ -42,15 +44,15 @@
         pytest.param({"tls": {"certificate": "/none", "key": "/none"}}, "$.tls.certificate", id="unreadable file"),
     ],
 )
-def test_fault_is_one_line_with_its_place(
-    tmp_path: Path, changes: dict[str, object], place: str, capsys: pytest.CaptureFixture[str]
+def test_fault_is_printed_in_one_line_with_its_location(
+    tmp_path: Path, changes: dict[str, object], location: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    path = write(tmp_path, **changes)
+    path = write_settings(tmp_path, **changes)
     assert main(["--settings", str(path)]) == EXIT_SETTINGS
     printed = capsys.readouterr().err
     assert printed.count("\n") == 1
     assert str(path) in printed
-    assert place in printed
+    assert location in printed
 
 
 def test_unreadable_file_is_named(tmp_path: Path) -> None:
