--- a/packages/core/src/vaneturn_core/placing/parts.py
+++ b/packages/core/src/vaneturn_core/placing/parts.py
@@ -23,8 +23,8 @@
 
     def covers(self, other: Part) -> bool:
         """Tell whether an engine that holds this part can run the other one."""
-        same = (self.model, self.version, self.adapter) == (other.model, other.version, other.adapter)
-        return same and self.first <= other.first and other.end <= self.end
+        is_same_model = (self.model, self.version, self.adapter) == (other.model, other.version, other.adapter)
+        return is_same_model and self.first <= other.first and other.end <= self.end
 
     def __str__(self) -> str:
         adapter = f"+{self.adapter}" if self.adapter else ""
--- a/packages/core/src/vaneturn_core/placing/plan.py
+++ b/packages/core/src/vaneturn_core/placing/plan.py
@@ -20,7 +20,7 @@
 )
 from vaneturn_core.routing.flow import compute_flow
 
-KEPT_SHARE: Final = 0.5  # of a pipeline's bound with all servers; must remain available when a server is emptied
+MIN_CAPACITY_SHARE: Final = 0.5  # of a pipeline's bound with all servers; must remain when a server is emptied
 
 
 @dataclass(frozen=True)
@@ -94,7 +94,7 @@
     def make_plan(self) -> Plan:
         """Make the plan: servers with enough free memory come first, among them those whose parts are rarest."""
         servers = [server for server in self._configuration.servers if self._takes_orders(server.vm)]
-        servers.sort(key=self._rank)
+        servers.sort(key=self._make_sort_key)
         orders = [order for server in servers for order in self._plan_server(server)]
         is_moving = orders or any(holdings.loading or holdings.ending for holdings in self._reports.values())
         return Plan(tuple(orders), () if is_moving else tuple(self._stuck))
@@ -102,7 +102,7 @@
     def _takes_orders(self, vm: VmId) -> bool:
         return vm in self._reports and vm not in self._unusable
 
-    def _rank(self, server: Server) -> tuple[bool, bool, int, float, VmId]:
+    def _make_sort_key(self, server: Server) -> tuple[bool, bool, int, float, VmId]:
         wanted = self._wanted.get(server.vm, frozenset())
         has_memory = self._fits(server, wanted | self._targets[server.vm])
         is_silent = server.vm in self._silent
@@ -201,7 +201,7 @@
         if pipeline.name not in self._capacities:
             unavailable = self._unavailable[pipeline.name] = self._find_unavailable(pipeline)
             self._capacities[pipeline.name] = self._compute_capacity(pipeline, unavailable)
-            self._required_capacities[pipeline.name] = KEPT_SHARE * compute_flow(pipeline, unavailable).bound
+            self._required_capacities[pipeline.name] = MIN_CAPACITY_SHARE * compute_flow(pipeline, unavailable).bound
         required = min(self._required_capacities[pipeline.name], self._capacities[pipeline.name])
         return self._compute_capacity(pipeline, self._unavailable[pipeline.name] | {without}) >= required
 
@@ -231,4 +231,4 @@
     return Planner(configuration, reports, unusable, silent).make_plan()
 
 
-__all__ = ["KEPT_SHARE", "HoldOrder", "Plan", "plan_holdings"]
+__all__ = ["MIN_CAPACITY_SHARE", "HoldOrder", "Plan", "plan_holdings"]
--- a/tests/rig/mechanisms.py
+++ b/tests/rig/mechanisms.py
@@ -177,7 +177,7 @@
     Proof(
         "a server is emptied only if enough goes on",
         "tests/core/placing/test_plan.py",
-        (Edit(f"{CORE}/placing/plan.py", "KEPT_SHARE: Final = 0.5", "KEPT_SHARE: Final = 0.0"),),
+        (Edit(f"{CORE}/placing/plan.py", "MIN_CAPACITY_SHARE: Final = 0.5", "MIN_CAPACITY_SHARE: Final = 0.0"),),
     ),
     Proof(
         "an engine that answers nothing holds up no rollout",
