--- a/packages/core/src/vaneturn_core/claims/ledger.py
+++ b/packages/core/src/vaneturn_core/claims/ledger.py
@@ -19,7 +19,7 @@
 CLOCK_MARGIN_S: Final = 2.0  # greatest difference allowed between the clocks of callers and nodes
 KEY_RETENTION_S: Final = 3600.0  # how long a key is kept; older keys are rejected
 CLAIMS_PER_CLEANUP: Final = 1024  # claims between two removals of expired keys
-_TIME_SHIFT: Final = 80  # bits after the milliseconds in a UUID version 7
+_TIMESTAMP_SHIFT: Final = 80  # bits after the milliseconds in a UUID version 7
 
 
 class Verdict(Enum):
@@ -38,7 +38,7 @@
         key = uuid.UUID(repeat_key)
     except ValueError:
         return None
-    return (key.int >> _TIME_SHIFT) / 1000 if key.version == 7 else None  # noqa: PLR2004 # the version with a timestamp
+    return (key.int >> _TIMESTAMP_SHIFT) / 1000 if key.version == 7 else None  # noqa: PLR2004 # has a timestamp
 
 
 class LedgerEntry(Struct, frozen=True, array_like=True):
@@ -58,7 +58,7 @@
     _claims_since_cleanup: int = 0
 
     def claim(
-        self, customer: CustomerName, repeat_key: RepeatKey, claim: str, created_at: float, now: float
+        self, customer: CustomerName, repeat_key: RepeatKey, claim_id: str, created_at: float, now: float
     ) -> Verdict:
         """Accept a claim or give the reason for rejecting it; a repeat with the same claim id gets the same verdict.
 
@@ -69,15 +69,15 @@
             return Verdict.FROM_THE_FUTURE
         if created_at <= self.taken_at + CLOCK_MARGIN_S or created_at < now - KEY_RETENTION_S:
             return Verdict.TOO_OLD
-        holder = self._claims.setdefault((customer, repeat_key), claim)
+        holder = self._claims.setdefault((customer, repeat_key), claim_id)
         self._claims_since_cleanup += 1
         if self._claims_since_cleanup >= CLAIMS_PER_CLEANUP:
             self._remove_expired(now)
-        return Verdict.WON if holder == claim else Verdict.CLAIMED
+        return Verdict.WON if holder == claim_id else Verdict.CLAIMED
 
-    def release(self, customer: CustomerName, repeat_key: RepeatKey, claim: str) -> None:
+    def release(self, customer: CustomerName, repeat_key: RepeatKey, claim_id: str) -> None:
         """Remove a claim whose request was not run."""
-        if self._claims.get((customer, repeat_key)) == claim:
+        if self._claims.get((customer, repeat_key)) == claim_id:
             del self._claims[customer, repeat_key]
 
     def list_claims(self) -> list[LedgerEntry]:
--- a/packages/core/src/vaneturn_core/claims/slots.py
+++ b/packages/core/src/vaneturn_core/claims/slots.py
@@ -58,10 +58,13 @@
     :param unmet: owners that may be alive although the assigning node has had no contact with them.
     """
     alive = {member.node: member for member in members if member.state is not MemberState.DEAD}
-    staying = [owner for owner in current.owners if owner.node in alive or owner.node in unmet]
-    if current.slots and len(staying) == len(current.owners) and len(staying) >= min(MAX_OWNERS, len(alive)) // 2:
+    remaining = [owner for owner in current.owners if owner.node in alive or owner.node in unmet]
+    if current.slots and len(remaining) == len(current.owners) and len(remaining) >= min(MAX_OWNERS, len(alive)) // 2:
         return None
-    owners = [*staying, *_choose_owners(alive.values(), {owner.node for owner in staying}, MAX_OWNERS - len(staying))]
+    owners = [
+        *remaining,
+        *_choose_owners(alive.values(), {owner.node for owner in remaining}, MAX_OWNERS - len(remaining)),
+    ]
     if not owners:
         return None
     index_of = {owner.node: index for index, owner in enumerate(owners)}
@@ -69,8 +72,8 @@
     return SlotMap(current.epoch + 1, tuple(owners), _assign_free_slots(assigned, len(owners)))
 
 
-def _choose_owners(alive: Collection[Member], staying: set[NodeId], count: int) -> list[SlotOwner]:
-    members = [member for member in alive if member.node not in staying]
+def _choose_owners(alive: Collection[Member], remaining: set[NodeId], count: int) -> list[SlotOwner]:
+    members = [member for member in alive if member.node not in remaining]
     members.sort(key=lambda member: xxhash.xxh3_64_intdigest(f"slots {member.node}".encode()))
     return [SlotOwner(member.node, member.address) for member in members[:count]]
 
--- a/packages/core/src/vaneturn_core/limits/fairqueue.py
+++ b/packages/core/src/vaneturn_core/limits/fairqueue.py
@@ -15,7 +15,7 @@
     """An entry of the queue; the smallest start tag is served first."""
 
     start: float
-    number: int
+    sequence_number: int
     item: T = field(compare=False)
 
 
