--- a/packages/core/src/vaneturn_core/routing/choice.py
+++ b/packages/core/src/vaneturn_core/routing/choice.py
@@ -33,8 +33,8 @@
     :param avoided: servers that this answer must not use.
     """
     usable = {
-        boundary: {hop: weight for hop, weight in starting.items() if hop.vm not in avoided}
-        for boundary, starting in flow.hops.items()
+        boundary: {hop: weight for hop, weight in boundary_hops.items() if hop.vm not in avoided}
+        for boundary, boundary_hops in flow.hops.items()
     }
     reachable = find_reachable(usable, layers)
     if 0 not in reachable:
@@ -42,8 +42,8 @@
     selected: list[Hop] = []
     boundary = 0
     while boundary < layers:
-        fitting = {hop: weight for hop, weight in usable[boundary].items() if hop.end in reachable}
-        hop = _choose_hop(fitting, affinity, load)
+        candidates = {hop: weight for hop, weight in usable[boundary].items() if hop.end in reachable}
+        hop = _choose_hop(candidates, affinity, load)
         selected.append(hop)
         boundary = hop.end
     return Route(layers, tuple(selected))
@@ -51,8 +51,8 @@
 
 def _choose_hop(weights: Mapping[Hop, float], affinity: str, load: LoadView) -> Hop:
     ranked = sorted(weights, key=lambda hop: _score(hop, weights[hop], affinity), reverse=True)
-    free = [hop for hop in ranked if not load.is_full(hop.vm)] or ranked
-    first, second = free[0], free[min(1, len(free) - 1)]
+    available = [hop for hop in ranked if not load.is_full(hop.vm)] or ranked
+    first, second = available[0], available[min(1, len(available) - 1)]
     second_latency = load.estimate_latency(second.vm)  # 0 when unknown, which is no reason to leave the first
     return second if 0 < LATENCY_RATIO * second_latency < load.estimate_latency(first.vm) else first
 
--- a/packages/core/src/vaneturn_core/routing/flow.py
+++ b/packages/core/src/vaneturn_core/routing/flow.py
@@ -11,7 +11,7 @@
 
 from vaneturn_core.configuration.schema import Pipeline
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.routing.hops import Hop, list_entries, make_hop
+from vaneturn_core.routing.hops import Hop, list_entry_points, make_hop
 
 MINIMUM_SHARE: Final = 0.01  # of a hop's rate, so that hops without flow stay usable when others fail
 
@@ -35,7 +35,7 @@
     server inside its range is counted at the rate of the whole range, so the bound is too low by at most the share of
     the skipped layers.
     """
-    entries = [(stage, boundary) for stage, boundary in list_entries(pipeline) if stage.vm not in unusable]
+    entries = [(stage, boundary) for stage, boundary in list_entry_points(pipeline) if stage.vm not in unusable]
     rates: defaultdict[_Range, float] = defaultdict(float)
     for stage in pipeline.stages:
         if stage.vm not in unusable:
@@ -45,8 +45,8 @@
     weights: defaultdict[int, dict[Hop, float]] = defaultdict(dict)
     for stage, boundary in entries:
         hop = make_hop(stage, boundary)
-        entered = flow[_boundary(boundary)][_entry(stage.first, stage.end)]
-        share = entered * stage.rate / rates[stage.first, stage.end]
+        entered_flow = flow[_boundary(boundary)][_entry(stage.first, stage.end)]
+        share = entered_flow * stage.rate / rates[stage.first, stage.end]
         weights[boundary][hop] = max(share, MINIMUM_SHARE * hop.rate)
     return Flow(float(bound), weights)
 
--- a/packages/core/src/vaneturn_core/routing/hops.py
+++ b/packages/core/src/vaneturn_core/routing/hops.py
@@ -35,7 +35,7 @@
         return " ".join(f"{hop.vm}[{hop.first},{hop.end})" for hop in self.hops)
 
 
-def list_entries(pipeline: Pipeline) -> Iterator[tuple[Stage, int]]:
+def list_entry_points(pipeline: Pipeline) -> Iterator[tuple[Stage, int]]:
     """List each stage with each layer boundary at which it may be entered, including those inside its range."""
     boundaries = {0, *(stage.end for stage in pipeline.stages if stage.end < pipeline.layers)}
     for stage in pipeline.stages:
@@ -54,7 +54,7 @@
 def list_hops(pipeline: Pipeline) -> Mapping[int, Sequence[Hop]]:
     """Map each layer boundary to the hops that may start there."""
     hops: dict[int, list[Hop]] = defaultdict(list)
-    for stage, boundary in list_entries(pipeline):
+    for stage, boundary in list_entry_points(pipeline):
         hops[boundary].append(make_hop(stage, boundary))
     return hops
 
@@ -68,4 +68,4 @@
     return reachable
 
 
-__all__ = ["Hop", "Route", "find_reachable", "list_entries", "list_hops", "make_hop"]
+__all__ = ["Hop", "Route", "find_reachable", "list_entry_points", "list_hops", "make_hop"]
--- a/packages/core/src/vaneturn_core/routing/recovery.py
+++ b/packages/core/src/vaneturn_core/routing/recovery.py
@@ -26,23 +26,23 @@
     """Links between data halls; measured bandwidth is used where known, the declared one otherwise."""
 
     def __init__(self) -> None:
-        self._declared: dict[frozenset[DataHall], Link] = {}
-        self._measured: dict[frozenset[DataHall], float] = {}
+        self._declared_links: dict[frozenset[DataHall], Link] = {}
+        self._measured_bandwidths: dict[frozenset[DataHall], float] = {}
 
     def declare(self, links: Iterable[Link]) -> None:
         """Replace the declared links."""
-        self._declared = {frozenset(link.halls): link for link in links}
+        self._declared_links = {frozenset(link.halls): link for link in links}
 
     def record_transfer(self, first: DataHall, second: DataHall, size: int, seconds: float) -> None:
         """Record the bandwidth of a finished transfer."""
-        self._measured[frozenset((first, second))] = size / max(seconds, 1e-6)
+        self._measured_bandwidths[frozenset((first, second))] = size / max(seconds, 1e-6)
 
     def estimate_transfer(self, first: DataHall, second: DataHall, size: float) -> float:
         """Estimate the seconds that a transfer takes."""
         halls = frozenset((first, second))
-        link = self._declared.get(halls)
+        link = self._declared_links.get(halls)
         latency = link.latency if link else DEFAULT_LATENCY_S
-        bandwidth = self._measured.get(halls) or (link.bandwidth if link else DEFAULT_BANDWIDTH)
+        bandwidth = self._measured_bandwidths.get(halls) or (link.bandwidth if link else DEFAULT_BANDWIDTH)
         return latency + size / bandwidth
 
 
