--- a/packages/core/src/vaneturn_core/faults.py
+++ b/packages/core/src/vaneturn_core/faults.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-_AT: Final = re.compile(r" - at `(?P<path>[^`]*)`$")
+_PATH_SUFFIX: Final = re.compile(r" - at `(?P<path>[^`]*)`$")
 
 
 @dataclass(frozen=True)
@@ -25,7 +25,7 @@
 def describe_decode_error(error: msgspec.DecodeError) -> Fault:
     """Split the decoder's message into the path and the expectation."""
     text = str(error)
-    match = _AT.search(text)
+    match = _PATH_SUFFIX.search(text)
     if match is None:
         return Fault("$", text)
     return Fault(match["path"], text[: match.start()])
--- a/packages/core/src/vaneturn_core/settings.py
+++ b/packages/core/src/vaneturn_core/settings.py
@@ -58,9 +58,9 @@
     """Check that the files named in the settings are readable."""
     if settings.tls is None:
         return None
-    for field, named in (("certificate", settings.tls.certificate), ("key", settings.tls.key)):
-        if not os.access(named, os.R_OK):
-            return Fault(f"{path}: $.tls.{field}", f"expected a readable file, got {named!r}")
+    for field, file_name in (("certificate", settings.tls.certificate), ("key", settings.tls.key)):
+        if not os.access(file_name, os.R_OK):
+            return Fault(f"{path}: $.tls.{field}", f"expected a readable file, got {file_name!r}")
     return None
 
 
