--- a/packages/core/src/vaneturn_core/membership/table.py
+++ b/packages/core/src/vaneturn_core/membership/table.py
@@ -121,7 +121,7 @@
         self.own = msgspec.structs.replace(self.own, incarnation=self.own.incarnation + 1, is_stopping=True)
         self._store_member(self.own)
 
-    def stop(self) -> None:
+    def announce_stopped(self) -> None:
         """Announce that this node stops now, so that the others need not suspect it first."""
         self.own = msgspec.structs.replace(self.own, state=MemberState.DEAD)
         self._store_member(self.own)
--- a/packages/node/src/vaneturn_node/peers/gossip.py
+++ b/packages/node/src/vaneturn_node/peers/gossip.py
@@ -86,7 +86,7 @@
 
     async def stop(self) -> None:
         """Tell that this node stops now."""
-        self.table.stop()
+        self.table.announce_stopped()
         await self.announce()
 
     async def announce(self) -> None:
--- a/tests/core/membership/test_table.py
+++ b/tests/core/membership/test_table.py
@@ -89,7 +89,7 @@
 
 def test_stopping_node_stays_dead() -> None:
     table = make_table()
-    table.stop()
+    table.announce_stopped()
     table.merge([make_member("own", 5, MemberState.SUSPECT)])
     assert table.own.state is MemberState.DEAD
 
