--- a/packages/core/src/vaneturn_core/placing/plan.py
+++ b/packages/core/src/vaneturn_core/placing/plan.py
@@ -47,19 +47,19 @@
         configuration: Configuration,
         reports: Mapping[VmId, Holdings],
         unusable: Collection[VmId],
-        silent: Collection[VmId],
+        unresponsive: Collection[VmId],
     ) -> None:
         """Start a round.
 
-        :param said: the last report of each connected engine; engines without a report get no orders.
+        :param reports: the last report of each connected engine; engines without a report get no orders.
         :param unusable: servers that are leaving or down.
-        :param silent: engines that have not answered an order in time.
+        :param unresponsive: engines that have not answered an order in time.
         """
         self._configuration = configuration
         self._unusable = frozenset(unusable)
         # If an engine that never confirms an order came first, no other server of its range could be emptied.
         # Unresponsive engines are therefore planned last, and their capacity is not counted on.
-        self._silent = frozenset(silent)
+        self._unresponsive = frozenset(unresponsive)
         self._reports = reports
         # state of each server after this round: the parts to hold finally, and those that are ready now
         self._targets = {vm: holdings.target for vm, holdings in reports.items()}
@@ -105,8 +105,8 @@
     def _make_sort_key(self, server: Server) -> tuple[bool, bool, int, float, VmId]:
         wanted = self._wanted.get(server.vm, frozenset())
         has_memory = self._fits(server, wanted | self._targets[server.vm])
-        is_silent = server.vm in self._silent
-        return (is_silent, not has_memory, self._count_holders(server.vm), self._rates[server.vm], server.vm)
+        is_unresponsive = server.vm in self._unresponsive
+        return (is_unresponsive, not has_memory, self._count_holders(server.vm), self._rates[server.vm], server.vm)
 
     def _count_holders(self, vm: VmId) -> int:
         """Count the replicas of the rarest part that this server lacks."""
@@ -210,7 +210,7 @@
 
         Unresponsive servers are among them only if some capacity remains without them, as they may serve other nodes.
         """
-        unavailable = self._unusable | self._silent
+        unavailable = self._unusable | self._unresponsive
         return unavailable if self._compute_capacity(pipeline, unavailable) else self._unusable
 
     def _compute_capacity(self, pipeline: Pipeline, without: frozenset[VmId]) -> float:
@@ -225,10 +225,10 @@
     configuration: Configuration,
     reports: Mapping[VmId, Holdings],
     unusable: Collection[VmId] = frozenset(),
-    silent: Collection[VmId] = frozenset(),
+    unresponsive: Collection[VmId] = frozenset(),
 ) -> Plan:
     """Plan which parts each engine should hold."""
-    return Planner(configuration, reports, unusable, silent).make_plan()
+    return Planner(configuration, reports, unusable, unresponsive).make_plan()
 
 
 __all__ = ["MIN_CAPACITY_SHARE", "HoldOrder", "Plan", "plan_holdings"]
--- a/tests/core/placing/test_plan.py
+++ b/tests/core/placing/test_plan.py
@@ -131,7 +131,7 @@
     def __init__(self, configuration: Configuration, rng: Random, unresponsive: VmId) -> None:
         super().__init__(configuration, rng)
         self.unresponsive = unresponsive
-        self.silent: frozenset[VmId] = frozenset()
+        self.known_unresponsive: frozenset[VmId] = frozenset()
         self._actual: Holdings | None = None
         self._rounds_left = 0
 
@@ -152,7 +152,7 @@
         self._rounds_left -= 1
         if self._actual is not None and self._rounds_left <= 0:
             self.reports[self.unresponsive], self._actual = self._actual, None
-            self.silent = frozenset({self.unresponsive})
+            self.known_unresponsive = frozenset({self.unresponsive})
 
 
 @given(shapes, st.integers(1, 2), st.integers(2, 5), st.integers(0, 1000), st.data())
@@ -169,10 +169,13 @@
     required = min(engines.compute_capacity(newer.pipelines[0]) / 2, 100.0) - 1e-6
     has_spare_capacity = shape[1] > 2 or memory > 1  # otherwise the only other server of the range is its last replica
     for _ in range(MAX_ROUNDS):
-        for order in plan_holdings(newer, engines.reports, silent=engines.silent).orders:
+        for order in plan_holdings(newer, engines.reports, unresponsive=engines.known_unresponsive).orders:
             engines.apply_order(order)
         assert engines.count_loading() <= configuration.loads_at_once
-        assert engines.compute_capacity(newer.pipelines[0]) >= required or engines.unresponsive in engines.silent
+        assert (
+            engines.compute_capacity(newer.pipelines[0]) >= required
+            or engines.unresponsive in engines.known_unresponsive
+        )
         if all(set(engines.reports[vm].held) >= wanted[vm] for vm in others):
             return
         engines.advance()
@@ -185,9 +188,9 @@
     engines = Engines(configuration, Random(1))
     run_until_settled(configuration, engines)
     newer = roll_out(configuration)
-    silent = {stage.vm for stage in newer.pipelines[0].stages if stage.first}
+    unresponsive = {stage.vm for stage in newer.pipelines[0].stages if stage.first}
     full_capacity = engines.compute_capacity(configuration.pipelines[0])
-    for order in plan_holdings(newer, engines.reports, silent=silent).orders:
+    for order in plan_holdings(newer, engines.reports, unresponsive=unresponsive).orders:
         engines.apply_order(order)
     assert engines.compute_capacity(newer.pipelines[0]) >= full_capacity / 2
 
--- a/tests/rig/mechanisms.py
+++ b/tests/rig/mechanisms.py
@@ -182,7 +182,13 @@
     Proof(
         "an engine that answers nothing holds up no rollout",
         "tests/core/placing/test_plan.py::test_unresponsive_engine_does_not_stop_the_rollout_on_the_others",
-        (Edit(f"{CORE}/placing/plan.py", "self._silent = frozenset(silent)", "self._silent = frozenset()"),),
+        (
+            Edit(
+                f"{CORE}/placing/plan.py",
+                "self._unresponsive = frozenset(unresponsive)",
+                "self._unresponsive = frozenset()",
+            ),
+        ),
     ),
     Proof(
         "a node takes no slots of owners that it has not met",
