--- a/packages/core/src/vaneturn_core/claims/slots.py
+++ b/packages/core/src/vaneturn_core/claims/slots.py
@@ -13,7 +13,7 @@
 from vaneturn_core.membership.member import Member, MemberState
 
 SLOTS: Final = 64
-MAX_OWNERS: Final = 16  # nodes that own slots; a fixed number, so that key-value calls do not grow with the fleet
+MAX_OWNERS: Final = 16  # nodes that own slots; key-value calls grow with this number, not with the fleet
 SLOTS_KEY: Final = "vaneturn/slots"
 
 
--- a/packages/core/src/vaneturn_core/membership/table.py
+++ b/packages/core/src/vaneturn_core/membership/table.py
@@ -45,7 +45,7 @@
         return [member for member in self.list_alive() if member.node != self.own.node]
 
     def list_dead(self) -> list[Member]:
-        """List the dead members that are still remembered."""
+        """List the dead members that have not been removed yet."""
         return [member for member in self._members.values() if member.state is MemberState.DEAD]
 
     def find(self, node: NodeId) -> Member | None:
--- a/packages/core/src/vaneturn_core/operators.py
+++ b/packages/core/src/vaneturn_core/operators.py
@@ -52,7 +52,7 @@
     leaving: list[str]
     held: list[str] = []  # model parts that are ready
     loading: list[str] = []
-    ending: list[str] = []  # kept only until the sessions that use them end
+    ending: list[str] = []  # kept for the sessions that use them, closed to new ones
 
 
 class SessionState(Struct, frozen=True):
--- a/packages/core/src/vaneturn_core/placing/parts.py
+++ b/packages/core/src/vaneturn_core/placing/parts.py
@@ -37,7 +37,7 @@
     fence: int  # the highest fence seen in an order; 0 on an engine that does not check fences
     held: tuple[Part, ...]  # ready for new sessions
     loading: tuple[Part, ...]
-    ending: tuple[Part, ...]  # kept only until the sessions that use them end
+    ending: tuple[Part, ...]  # kept for the sessions that use them, closed to new ones
 
     @property
     def target(self) -> frozenset[Part]:
--- a/tests/core/placing/test_plan.py
+++ b/tests/core/placing/test_plan.py
@@ -99,7 +99,7 @@
         if not plan.orders and not engines.count_loading() and not engines.has_ending():
             return number
         engines.advance()
-    raise AssertionError("the plan never settles")
+    raise AssertionError("the plan does not settle within the maximum number of rounds")
 
 
 shapes = st.tuples(st.lists(st.integers(1, LAYERS - 1), max_size=3, unique=True).map(sorted), st.integers(2, 4))
