--- a/packages/cli/src/vaneturn_cli/client.py
+++ b/packages/cli/src/vaneturn_cli/client.py
@@ -1,4 +1,4 @@
-"""Calls of the operators' interface of nodes."""
+"""Client of the operators' interface of nodes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from vaneturn_core.identifiers import ChangeId, RequestId
 from vaneturn_core.operators import ChangeAnswer, ChangeStatus, EndedRequest, NodeState, ProposalBody
 
-TIMEOUT: Final = 15.0  # seconds; longer than a node takes to settle a write with a lost answer
+TIMEOUT: Final = 15.0  # seconds; longer than a node takes to settle a write whose answer was lost
 
 _Body = TypeVar("_Body")
 
@@ -29,20 +29,21 @@
 
 
 class OperatorClient:
-    """Talks to nodes by their HTTP addresses."""
+    """Calls the operators' interface of one or more nodes over HTTP."""
 
     def __init__(self, nodes: Sequence[str], key: str, authority: Path | None = None) -> None:
-        """Make a client.
+        """Create a client.
 
-        :param nodes: addresses as HOST:PORT, or https://HOST:PORT where nodes end TLS.
-        :param authority: PEM file of the authority that signed the nodes' certificates, if it is not a known one.
+        :param nodes: addresses as HOST:PORT, or https://HOST:PORT where nodes terminate TLS.
+        :param authority: PEM file of the certificate authority that signed the nodes' certificates, unless it is a
+            publicly trusted one.
         """
         self.nodes = tuple(nodes)
         verify = ssl.create_default_context(cafile=authority) if authority else True
         self._client = httpx.Client(headers={"Authorization": f"Bearer {key}"}, timeout=TIMEOUT, verify=verify)
 
     def read_state(self, node: str) -> NodeState | NoAnswer:
-        """Read what one node does and sees."""
+        """Read the state that one node reports."""
         return self._call(node, "GET", "state", NodeState)
 
     def read_configuration(self) -> Configuration | NoAnswer:
@@ -54,11 +55,11 @@
         return next(answer for answer in answers if isinstance(answer, NoAnswer))
 
     def propose(self, proposal: ProposalBody) -> ChangeAnswer | NoAnswer:
-        """Send a change to the first node that answers; the change's id makes a repeat harmless."""
+        """Send a change to the first node that answers; sending it again is harmless because of its id."""
         return self._call_any("POST", "changes", ChangeAnswer, msgspec.json.encode(proposal))
 
     def find_change(self, change: ChangeId) -> ChangeAnswer | NoAnswer:
-        """Ask every node for a change until one knows it."""
+        """Ask the nodes for a change until one reports it as applied."""
         answer: ChangeAnswer | NoAnswer = NoAnswer("", "no node given")
         for node in self.nodes:
             answer = self._call(node, "GET", f"changes/{change}", ChangeAnswer)
@@ -67,7 +68,7 @@
         return answer
 
     def find_ended(self, request: RequestId) -> EndedRequest | None:
-        """Ask every node what became of a request that has ended."""
+        """Ask the nodes for the record of an ended request until one knows it."""
         answers = (self._call(node, "GET", f"requests/{request}", EndedRequest) for node in self.nodes)
         return next((answer for answer in answers if isinstance(answer, EndedRequest)), None)
 
--- a/packages/cli/src/vaneturn_cli/commands.py
+++ b/packages/cli/src/vaneturn_cli/commands.py
@@ -1,4 +1,4 @@
-"""The vaneturn command: arguments, and what each verb prints and returns."""
+"""The vaneturn command: its arguments, and what each subcommand prints and returns."""
 
 from __future__ import annotations
 
@@ -43,31 +43,35 @@
 
 
 def _make_parser() -> argparse.ArgumentParser:
-    parser = argparse.ArgumentParser(prog="vaneturn", description="Ask and command the nodes of a vaneturn router.")
-    parser.add_argument("--nodes", default=os.environ.get(NODES_VARIABLE, ""), help="addresses of nodes, by comma")
-    parser.add_argument("--authority", type=Path, help="PEM file of the authority of the nodes' certificates")
+    parser = argparse.ArgumentParser(prog="vaneturn", description="Query and control the nodes of a vaneturn router.")
+    parser.add_argument(
+        "--nodes", default=os.environ.get(NODES_VARIABLE, ""), help="addresses of nodes, separated by commas"
+    )
+    parser.add_argument("--authority", type=Path, help="PEM file of the certificate authority of the nodes")
     parser.add_argument("--json", action="store_true", help="print JSON")
     verbs = parser.add_subparsers(required=True, metavar="VERB")
     _add_files(verbs.add_parser("check", help="check declarations"), check)
-    _add_files(verbs.add_parser("diff", help="compare declarations with what is in force"), diff)
+    _add_files(verbs.add_parser("diff", help="compare declarations with the configuration in force"), diff)
     applying = verbs.add_parser("apply", help="put declarations in force")
     _add_files(applying, apply)
-    applying.add_argument("--change", default="", help="id of the change; the same id never applies twice")
-    applying.add_argument("--summary", default="", help="a line for the audit log")
-    asking = verbs.add_parser("change", help="tell whether a change took effect")
+    applying.add_argument(
+        "--change", default="", help="id of the change; a change with the same id is never applied twice"
+    )
+    applying.add_argument("--summary", default="", help="one-line description for the audit log")
+    asking = verbs.add_parser("change", help="show whether a change took effect")
     asking.add_argument("id")
     asking.set_defaults(command=show_change)
-    querying = verbs.add_parser("query", help="carry out one line of the query and command language")
+    querying = verbs.add_parser("query", help="run one line of the query and command language")
     querying.add_argument("line")
     querying.set_defaults(command=query)
     verbs.add_parser(
-        "traffic", help="show the nodes and servers of the users' platform; --nodes gives metrics addresses"
+        "traffic", help="show the nodes and servers of the users' platform; --nodes takes metrics addresses"
     ).set_defaults(command=show_traffic)
-    explaining = verbs.add_parser("explain", help="tell what became of a request on the users' platform")
+    explaining = verbs.add_parser("explain", help="show how a request on the users' platform was handled")
     explaining.add_argument("request")
     explaining.set_defaults(command=explain)
-    _add_losses(verbs.add_parser("losses", help="tell from log lines which requests were late or not served, and why"))
-    verbs.add_parser("prompt", help="carry out lines from standard input").set_defaults(command=prompt)
+    _add_losses(verbs.add_parser("losses", help="show from log lines which requests were late or not served, and why"))
+    verbs.add_parser("prompt", help="run lines from standard input").set_defaults(command=prompt)
     verbs.add_parser("schema", help="print the JSON Schema of declarations").set_defaults(command=show_schema)
     return parser
 
@@ -79,12 +83,14 @@
 
 def _add_losses(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
-        "files", nargs="*", type=Path, metavar="FILE", help="log lines of nodes; without: standard input"
+        "files", nargs="*", type=Path, metavar="FILE", help="log files of nodes; default: standard input"
     )
-    parser.add_argument("--first-event", type=float, default=0.5, help="seconds in which a stream should begin")
-    parser.add_argument("--pause", type=float, default=0.2, help="seconds that a stream may pause")
+    parser.add_argument("--first-event", type=float, default=0.5, help="seconds within which a stream should begin")
+    parser.add_argument("--pause", type=float, default=0.2, help="longest pause in seconds that a stream may make")
     parser.add_argument("--most", type=int, default=30, help="rows")
-    parser.add_argument("--plot", action="store_true", help="plot by second and by server; needs the extra 'plot'")
+    parser.add_argument(
+        "--plot", action="store_true", help="plot losses by second and by server; needs the extra 'plot'"
+    )
     parser.set_defaults(command=show_losses)
 
 
@@ -103,7 +109,7 @@
 
 
 def check(options: argparse.Namespace) -> Exit:
-    """Check declarations without any node."""
+    """Check declarations without contacting a node."""
     return Exit.FAULTY if _load(options) is None else Exit.DONE
 
 
@@ -122,7 +128,7 @@
 
 
 def apply(options: argparse.Namespace) -> Exit:
-    """Put declarations in force; VMs that are draining go on draining."""
+    """Put declarations in force; draining VMs stay draining unless the declarations list draining VMs themselves."""
     declared = _load(options)
     if declared is None:
         return Exit.FAULTY
@@ -136,23 +142,23 @@
 
 
 def show_change(options: argparse.Namespace) -> Exit:
-    """Tell whether a change took effect."""
+    """Show whether a change took effect."""
     change = ChangeId(options.id)
     return report_change(change, _make_client(options).find_change(change))
 
 
 def query(options: argparse.Namespace) -> Exit:
-    """Carry out one line of the query and command language."""
+    """Run one line of the query and command language."""
     return run_statement(_make_client(options), options.line, as_json=options.json)
 
 
 def prompt(options: argparse.Namespace) -> Exit:
-    """Carry out lines from standard input."""
+    """Run lines from standard input."""
     return run_prompt(_make_client(options), as_json=options.json)
 
 
 def show_traffic(options: argparse.Namespace) -> Exit:
-    """Show the traffic of nodes on the users' platform, those that do not answer named."""
+    """Show the traffic of nodes on the users' platform, and report the nodes that do not answer."""
     answers = [read_state(node) for node in options.nodes.split(",") if node]
     states = [answer for answer in answers if isinstance(answer, TrafficState)]
     print(msgspec.json.encode(states).decode() if options.json else format_states(states))
@@ -163,7 +169,7 @@
 
 
 def explain(options: argparse.Namespace) -> Exit:
-    """Ask each node for a request until one knows it."""
+    """Ask the nodes for a request until one knows it, and show how it was handled."""
     answers = [find_request(node, options.request) for node in options.nodes.split(",") if node]
     for answer in answers:
         if isinstance(answer, TrafficRequest):
@@ -172,13 +178,13 @@
         if isinstance(answer, NoAnswer):
             report_no_answer(answer)
     if any(isinstance(answer, NotThere) for answer in answers):
-        print(f"request {options.request}: not among the newest of these nodes", file=sys.stderr)
+        print(f"request {options.request}: not among the newest requests of these nodes", file=sys.stderr)
         return Exit.DIFFERENT
     return Exit.NO_ANSWER
 
 
 def show_losses(options: argparse.Namespace) -> Exit:
-    """Tell from log lines which requests were late or not served, and why."""
+    """Show from log lines which requests were late or not served, and why."""
     try:
         with contextlib.ExitStack() as files:
             opened = [files.enter_context(path.open(errors="replace")) for path in options.files]
@@ -195,7 +201,7 @@
             print("plotext is not installed: pip install 'vaneturn-cli[plot]'", file=sys.stderr)
             return Exit.FAULTY
     if table.faulty_lines:
-        print(f"{table.faulty_lines} lines not understood", file=sys.stderr)
+        print(f"{table.faulty_lines} lines could not be parsed", file=sys.stderr)
     return Exit.DONE
 
 
--- a/packages/cli/src/vaneturn_cli/exits.py
+++ b/packages/cli/src/vaneturn_cli/exits.py
@@ -6,14 +6,14 @@
 
 
 class Exit(IntEnum):
-    """Documented in docs/operators.md."""
+    """Exit codes; docs/operators.md documents them."""
 
     DONE = 0
-    DIFFERENT = 1  # diff found differences, or a change id is not known
-    FAULTY = 2  # arguments, files or a query are wrong
-    OVERTAKEN = 3  # another change came first
-    NO_ANSWER = 4  # no node answered, or the key-value service is down: nothing was changed
-    UNSETTLED = 5  # whether the change took effect is not known yet: ask for its id
+    DIFFERENT = 1  # diff found differences, or the given change or request is unknown
+    FAULTY = 2  # invalid arguments, files or query
+    OVERTAKEN = 3  # another change was applied first
+    NO_ANSWER = 4  # no node answered, or the key-value service is down; nothing was changed
+    UNSETTLED = 5  # not known yet whether the change took effect; look it up by its id
 
 
 __all__ = ["Exit"]
--- a/packages/cli/src/vaneturn_cli/reporting.py
+++ b/packages/cli/src/vaneturn_cli/reporting.py
@@ -27,7 +27,7 @@
 
 
 def report_change(change: ChangeId, answer: ChangeAnswer | NoAnswer) -> Exit:
-    """Report what became of a change."""
+    """Report the result of a change."""
     if isinstance(answer, NoAnswer):
         print(f"change {change}: not known whether it took effect", file=sys.stderr)
         report_no_answer(answer)
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line: checked files, differences, exit codes."""
+"""Tests of the command line: checking files, differences, exit codes."""
 
 from __future__ import annotations
 
