--- a/packages/cli/src/vaneturn_cli/declarations.py
+++ b/packages/cli/src/vaneturn_cli/declarations.py
@@ -1,4 +1,4 @@
-"""Declarations in files under version control, merged into one configuration."""
+"""Loads declarations from files under version control and merges them into one configuration."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def load_declarations(paths: Sequence[Path]) -> Configuration | list[Fault]:
-    """Read files, each an object of sections; the lists of a section are joined over the files."""
+    """Read files, each a JSON object of sections; the lists of a section are concatenated over all files."""
     faults: list[Fault] = []
     merged: dict[str, list[Any]] = {}
     for path in paths:
@@ -36,7 +36,7 @@
 
 
 def _read_sections(path: Path) -> dict[str, list[Any]] | Fault:
-    """Read one file and check it by itself, so that a fault names the file."""
+    """Read one file and check it on its own, so that a fault names the file."""
     try:
         data = path.read_bytes()
         sections = msgspec.json.decode(data, type=dict[str, list[Any]])
@@ -49,7 +49,7 @@
         return Fault(f"{path}: {checked.path}", checked.expected)
     named = _SET_BY_SYSTEM & sections.keys()
     if named:
-        return Fault(f"{path}: $.{min(named)}", "expected no such section, the system sets it")
+        return Fault(f"{path}: $.{min(named)}", "expected no such section: the system sets it")
     return sections
 
 
--- a/packages/cli/src/vaneturn_cli/difference.py
+++ b/packages/cli/src/vaneturn_cli/difference.py
@@ -29,7 +29,7 @@
     kind: Kind
     section: str
     entry: str
-    fields: tuple[str, ...] = ()  # that changed
+    fields: tuple[str, ...] = ()  # the changed ones
 
     def __str__(self) -> str:
         fields = f" ({', '.join(self.fields)})" if self.fields else ""
@@ -37,7 +37,7 @@
 
 
 def compare_configurations(old: Configuration, new: Configuration) -> list[Difference]:
-    """List what differs, section by section."""
+    """List the differences, section by section."""
     return [difference for section in _SECTIONS for difference in _compare_section(section, old, new)]
 
 
--- a/packages/cli/src/vaneturn_cli/editing.py
+++ b/packages/cli/src/vaneturn_cli/editing.py
@@ -1,4 +1,4 @@
-"""Commands as edits of the configuration."""
+"""Applies commands to the configuration."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def edit_configuration(configuration: Configuration, edit: Edit) -> Configuration | str:
-    """Give the configuration after an edit, or say why it cannot be made."""
+    """Return the edited configuration, or the reason why the edit is not possible."""
     match edit:
         case Drain(vm):
             return _drain(configuration, vm)
@@ -47,7 +47,7 @@
 
 
 def _roll_out(configuration: Configuration, name: str, version: str) -> Configuration | str:
-    """Declare a version; the one before serves on until every server has the new one."""
+    """Declare a new version; the previous one keeps serving until every server has the new one."""
     present = next((pipeline.version for pipeline in configuration.pipelines if pipeline.name == name), version)
     if present == version:
         return _edit_pipeline(configuration, name, version=version)
@@ -60,7 +60,7 @@
 
 
 def _replace_named(entries: tuple[_Entry, ...], name: str, **fields: object) -> tuple[_Entry, ...] | None:
-    """Change the fields of the entry with a name; none when there is no such entry."""
+    """Change fields of the entry with this name; return None if there is no such entry."""
     if name not in {getattr(entry, "name", None) for entry in entries}:
         return None
     return tuple(replace(entry, **fields) if getattr(entry, "name", None) == name else entry for entry in entries)
--- a/packages/cli/src/vaneturn_cli/language.py
+++ b/packages/cli/src/vaneturn_cli/language.py
@@ -1,4 +1,4 @@
-"""The operators' query and command language: grammar and what a line means."""
+"""The operators' query and command language: its grammar and its statements."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class Topic(Enum):
-    """What can be shown."""
+    """Tables that can be shown."""
 
     PIPELINES = "pipelines"
     VMS = "vms"
@@ -50,7 +50,7 @@
 
 
 class Operator(Enum):
-    """How a condition compares; ~ is 'contains'."""
+    """Comparison operators of conditions; ~ means 'contains'."""
 
     EQUAL = "="
     UNEQUAL = "!="
@@ -78,42 +78,42 @@
 
 @dataclass(frozen=True)
 class WhySession:
-    """Say where an answer in progress runs, and why there."""
+    """Explain where an answer in progress runs, and why there."""
 
     request: RequestId
 
 
 @dataclass(frozen=True)
 class WhyVm:
-    """Say what a VM is used for, and why not more."""
+    """Explain what a VM is used for, and why not for more."""
 
     vm: VmId
 
 
 @dataclass(frozen=True)
 class WhyRefused:
-    """Say what became of a request that has ended."""
+    """Explain how a request ended."""
 
     request: RequestId
 
 
 @dataclass(frozen=True)
 class Drain:
-    """Give a VM no new work."""
+    """Stop assigning new work to a VM."""
 
     vm: VmId
 
 
 @dataclass(frozen=True)
 class Undrain:
-    """Give a VM work again."""
+    """Assign work to a VM again."""
 
     vm: VmId
 
 
 @dataclass(frozen=True)
 class SetPriority:
-    """Shift the priority of a class."""
+    """Set the priority of a work class."""
 
     work_class: ClassName
     priority: int
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True)
 class SetPreference:
-    """Set what a pipeline weighs more."""
+    """Set whether a pipeline prefers throughput or recovery."""
 
     pipeline: PipelineName
     preference: Preference
@@ -129,7 +129,7 @@
 
 @dataclass(frozen=True)
 class RollOut:
-    """Serve another version of a pipeline's model; answers in progress keep theirs."""
+    """Serve another version of a pipeline's model; answers in progress keep their version."""
 
     pipeline: PipelineName
     version: str
@@ -142,7 +142,7 @@
 
 @dataclass(frozen=True)
 class SyntaxFault:
-    """A line that is not of the language."""
+    """A syntax error in a line."""
 
     line: str
     column: int  # from 1
@@ -154,7 +154,7 @@
 
 
 class _Meaning(Transformer[Token, Statement]):
-    """Turns the tree of a line into its statement."""
+    """Turns the parse tree of a line into its statement."""
 
     def start(self, parts: list[Statement]) -> Statement:
         return parts[0]
--- a/packages/cli/src/vaneturn_cli/querying.py
+++ b/packages/cli/src/vaneturn_cli/querying.py
@@ -1,4 +1,4 @@
-"""Carrying out statements of the query and command language."""
+"""Runs statements of the query and command language."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def run_statement(client: OperatorClient, line: str, *, as_json: bool) -> Exit:
-    """Carry out one line."""
+    """Run one line."""
     statement = parse_statement(line)
     if isinstance(statement, SyntaxFault):
         print(statement, file=sys.stderr)
@@ -43,7 +43,7 @@
 
 
 def run_prompt(client: OperatorClient, *, as_json: bool) -> Exit:
-    """Carry out lines until the end of the input."""
+    """Run lines until the end of the input."""
     while True:
         try:
             line = input(PROMPT if sys.stdin.isatty() else "").strip()
--- a/tests/cli/test_language.py
+++ b/tests/cli/test_language.py
@@ -1,4 +1,4 @@
-"""Lines of the query and command language mean what they say, and faults point at their place."""
+"""Tests that lines of the query and command language parse, and that syntax errors point at the faulty column."""
 
 from __future__ import annotations
 
