--- a/packages/cli/src/vaneturn_cli/losses.py
+++ b/packages/cli/src/vaneturn_cli/losses.py
@@ -1,4 +1,4 @@
-"""What bound the traffic, from the log lines of nodes: which requests were late or not served, when and why."""
+"""Finds in the log lines of nodes which requests were late or not served, when and why."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 NO_STEP: Final = "no step"
 _STEP_TIME: Final = re.compile(r"^\d+ms ")
 _SERVER: Final = re.compile(r"\b(i-[0-9a-zA-Z]+)\b(\[\d+,\d+\))?")
-_SENT: Final = "over "  # a step that names the chain, no cause
+_SENT: Final = "over "  # marks the step that names the chain of servers; it is not a cause
 
 
 class Loss(Enum):
-    """How a request fell short."""
+    """Kinds of losses: how a request was late or not served."""
 
     FIRST_EVENT = "late first event"
     PAUSE = "long pause"
@@ -39,39 +39,39 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """What a stream may take before it counts as late."""
+    """Times above which a stream counts as late."""
 
-    first_event: float  # seconds from its arrival
+    first_event: float  # seconds from the arrival of the request
     pause: float  # seconds between two events
 
 
 class _Line(msgspec.Struct):
-    """A log line on the end of a request; the fields of the request stand beside these."""
+    """A log line about the end of a request; the fields of the request are on the same level."""
 
     message: str
     time: str = ""
 
 
 class PauseParts(NamedTuple):
-    """What a pause after a loss consisted of, in seconds."""
+    """The consecutive parts of a pause after the loss of a server, in seconds."""
 
-    silence: float  # until the servers were asked
-    question: float  # until a lost one was known
-    choice: float  # until another server was asked to go on
-    going_on: float  # until the next event: the prompt read again, an event made
+    silence: float  # until the servers were probed
+    question: float  # until the lost or stalling server was found
+    choice: float  # until another server was asked to resume
+    going_on: float  # until the next event: the prompt is processed again and an event produced
 
 
 @dataclass
 class LossTable:
-    """Losses by kind and cause."""
+    """Counts of losses by kind and cause."""
 
     requests: int = 0
     faulty_lines: int = 0
     seconds: defaultdict[tuple[Loss, str], Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
     routes: defaultdict[tuple[Loss, str], set[str]] = field(default_factory=lambda: defaultdict(set))
-    servers: Counter[str] = field(default_factory=Counter)  # that the steps of losses name, once for each request
-    pauses: list[PauseParts] = field(default_factory=list)  # the long ones after a loss
-    unexplained: int = 0  # long pauses of answers whose steps tell nothing but the chain
+    servers: Counter[str] = field(default_factory=Counter)  # named in steps of losses, counted once per request
+    pauses: list[PauseParts] = field(default_factory=list)  # long pauses after the loss of a server
+    unexplained: int = 0  # long pauses of requests whose steps name only the chain
 
     def add(self, request: TrafficRequest, second: str, limits: Limits) -> None:
         """Count a request."""
@@ -116,7 +116,7 @@
 
 
 def find_loss(request: TrafficRequest, limits: Limits) -> Loss | None:
-    """Find how a request fell short; none when it was served in time, or refused for what the client had sent."""
+    """Find the kind of loss; None if the request was served in time or refused because of what the client sent."""
     if WHOLE.match(request.ending):
         if request.first_event > limits.first_event:
             return Loss.FIRST_EVENT
@@ -131,14 +131,14 @@
 
 
 def find_cause(request: TrafficRequest) -> str:
-    """Find the steps that kept a request up, without times and servers; by itself crowding leaves no step."""
+    """Find the steps that delayed a request, without times and server names; high load alone leaves no step."""
     steps = [_SERVER.sub("S", _STEP_TIME.sub("", step)) for step in request.steps]
     causes = dict.fromkeys(step for step in steps if not step.startswith(_SENT))
     return "; ".join(causes) or request.reason or NO_STEP
 
 
 def find_servers(request: TrafficRequest) -> set[str]:
-    """Find the servers to look at: those that steps name as lost or refusing, or else the first of the last chain."""
+    """Find the suspect servers: those that steps name as lost or refusing, or else the first of the last chain."""
     named = {server.group(1) for step in request.steps if _SENT not in step for server in _SERVER.finditer(step)}
     chains = [step for step in request.steps if _SENT in step]
     first = _SERVER.search(chains[-1]) if chains else None
@@ -146,7 +146,7 @@
 
 
 def read_lines(lines: Iterable[str], limits: Limits) -> LossTable:
-    """Read log lines; whatever stands before the JSON of a line is passed over, other messages do not count."""
+    """Read log lines; text before the JSON of a line is skipped, and other messages are ignored."""
     table = LossTable()
     for line in lines:
         if MESSAGE not in line:
@@ -162,7 +162,7 @@
 
 
 def format_losses(table: LossTable, most: int) -> str:
-    """Format the table, its longest rows first."""
+    """Format the table, the rows with the most requests first."""
     rows = table.list_rows()
     lost = sum(row[2] for row in rows)
     text = tabulate(
@@ -173,7 +173,7 @@
 
 
 def format_pauses(table: LossTable) -> str:
-    """Format what the long pauses after a loss consisted of, by medians, and how many of all nothing explains."""
+    """Format the median parts of the long pauses after a loss, and the number of all that no step explains."""
     text = f"{len(table.pauses)} long pauses after a loss"
     if table.pauses:
         medians = [median(part) for part in zip(*table.pauses, strict=True)]
--- a/packages/cli/src/vaneturn_cli/lossplot.py
+++ b/packages/cli/src/vaneturn_cli/lossplot.py
@@ -46,7 +46,7 @@
 
 
 def _draw(labels: Sequence[str], heights: Sequence[Sequence[int]], marks: Sequence[str]) -> str:
-    import plotext  # noqa: PLC0415 # an optional extra: only who plots needs it
+    import plotext  # noqa: PLC0415 # optional extra that only plots need
 
     figure = plotext.figure
     figure.clear()
--- a/packages/cli/src/vaneturn_cli/reasons.py
+++ b/packages/cli/src/vaneturn_cli/reasons.py
@@ -1,4 +1,4 @@
-"""Answers to why something is as it is."""
+"""Answers the "why" queries of operators."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def explain_session(view: View, request: RequestId) -> list[str]:
-    """Say where an answer in progress runs and what it went through."""
+    """Explain where an answer in progress runs and which failures it had."""
     for state in view.states:
         for session in state.sessions:
             if session.request != request:
@@ -24,7 +24,7 @@
 
 
 def explain_vm(view: View, vm: VmId) -> list[str]:
-    """Say what a VM is used for and what each node holds against it."""
+    """Explain what a VM is used for and why nodes limit or avoid it."""
     said = group_servers(view).get(vm, [])
     work = describe_work(view, vm)
     if not work and not said:
@@ -44,7 +44,7 @@
 
 
 def explain_ended(request: RequestId, ended: EndedRequest | None) -> list[str]:
-    """Say what became of a request that has ended."""
+    """Explain how a request ended."""
     if ended is None:
         return [f"no node that answered remembers a request {request}; each remembers its newest ones only"]
     reason = f" because of {ended.reason}" if ended.reason else ""
--- a/packages/cli/src/vaneturn_cli/tables.py
+++ b/packages/cli/src/vaneturn_cli/tables.py
@@ -1,4 +1,4 @@
-"""Tables made from what the nodes say."""
+"""Tables of the configuration and of the states that nodes report."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 
 @dataclass(frozen=True)
 class View:
-    """What was learned from the nodes, and when."""
+    """The configuration and the states read from the nodes."""
 
     configuration: Configuration
     states: tuple[NodeState, ...]
     missing: tuple[NoAnswer, ...]
-    taken_at: float  # monotonic clock, seconds
+    taken_at: float  # monotonic time before the first read, seconds
 
     def describe(self) -> str:
-        """Say how old the view is and which nodes did not answer."""
+        """Describe how old the view is and which nodes did not answer."""
         age = time.monotonic() - self.taken_at
         text = f"revision {self.configuration.revision}, {len(self.states)} nodes answered, view {age:.1f} s old"
         if self.missing:
@@ -44,7 +44,7 @@
 
 
 def make_table(topic: Topic, view: View, conditions: Sequence[Condition]) -> Table | str:
-    """Make the table of a topic, or name the column that it does not have."""
+    """Make the table of a topic, or return an error that names the unknown column."""
     table = _MAKERS[topic](view)
     unknown = [condition.column for condition in conditions if condition.column not in table.columns]
     if unknown:
@@ -92,7 +92,7 @@
 
 
 def group_servers(view: View) -> dict[VmId, list[ServerState]]:
-    """Group what the nodes say of each server."""
+    """Group the states that nodes report of each server."""
     grouped: defaultdict[VmId, list[ServerState]] = defaultdict(list)
     for state in view.states:
         for server in state.servers:
@@ -101,7 +101,7 @@
 
 
 def describe_work(view: View, vm: VmId) -> str:
-    """Say which layers of which pipelines, or which services, a VM is declared for."""
+    """List the layers of pipelines and the services that a VM is declared for."""
     stages = [
         f"{pipeline.name}[{stage.first},{stage.end})"
         for pipeline in view.configuration.pipelines
@@ -112,7 +112,7 @@
 
 
 def describe_standing(said: Iterable[ServerState]) -> str:
-    """Sum up what the nodes say of a server."""
+    """Summarize the states that nodes report of a server."""
     known = list(said)
     leaving = sorted({source for server in known for source in server.leaving})
     if leaving:
@@ -125,7 +125,7 @@
 
 
 def describe_parts(said: Iterable[ServerState]) -> str:
-    """Say what an engine that takes orders holds, by the word of the first node that knows."""
+    """List the parts held by an engine that takes orders, as reported by the first node that knows them."""
     for server in said:
         parts = [*server.held, *(f"loading {part}" for part in server.loading)]
         parts += [f"ending {part}" for part in server.ending]
--- a/packages/cli/src/vaneturn_cli/traffic.py
+++ b/packages/cli/src/vaneturn_cli/traffic.py
@@ -1,4 +1,4 @@
-"""What nodes on the users' platform tell of their traffic."""
+"""Reads and formats the traffic state of nodes on the users' platform."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 
 @dataclass(frozen=True)
 class NotThere:
-    """The node does not know the request."""
+    """The node answered 404 Not Found: it does not know the request, or has no such path."""
 
 
 def read_state(node: str) -> TrafficState | NoAnswer:
-    """Read what a node believes, at its metrics address."""
+    """Read the traffic state of a node from its metrics address."""
     answer = _get(node, "/state", TrafficState)
-    return NoAnswer(node, "no state there") if isinstance(answer, NotThere) else answer
+    return NoAnswer(node, "no traffic state at this address") if isinstance(answer, NotThere) else answer
 
 
 def find_request(node: str, request: str) -> TrafficRequest | NotThere | NoAnswer:
-    """Ask a node what became of a request."""
+    """Ask a node how it handled a request."""
     return _get(node, f"/requests/{request}", TrafficRequest)
 
 
@@ -78,7 +78,7 @@
 
 
 def format_request(request: TrafficRequest) -> str:
-    """Format what became of a request, step by step."""
+    """Format how a request was handled, step by step."""
     lines = [
         f"request {request.request}: {request.ending} after {request.seconds:.3f} s",
         f"route {request.route or 'none'}, customer {request.customer or 'none'}",
--- a/tests/cli/test_losses.py
+++ b/tests/cli/test_losses.py
@@ -1,4 +1,4 @@
-"""The table of what was late or not served: by the log lines of nodes alone."""
+"""Tests of the table of late or unserved requests, which is made from log lines of nodes only."""
 
 from __future__ import annotations
 
