--- a/packages/cli/src/vaneturn_cli/commands.py
+++ b/packages/cli/src/vaneturn_cli/commands.py
@@ -49,30 +49,32 @@
     )
     parser.add_argument("--authority", type=Path, help="PEM file of the certificate authority of the nodes")
     parser.add_argument("--json", action="store_true", help="print JSON")
-    verbs = parser.add_subparsers(required=True, metavar="VERB")
-    _add_files(verbs.add_parser("check", help="check declarations"), check)
-    _add_files(verbs.add_parser("diff", help="compare declarations with the configuration in force"), diff)
-    applying = verbs.add_parser("apply", help="put declarations in force")
-    _add_files(applying, apply)
-    applying.add_argument(
+    subparsers = parser.add_subparsers(required=True, metavar="VERB")
+    _add_files(subparsers.add_parser("check", help="check declarations"), check)
+    _add_files(subparsers.add_parser("diff", help="compare declarations with the configuration in force"), diff)
+    apply_parser = subparsers.add_parser("apply", help="put declarations in force")
+    _add_files(apply_parser, apply)
+    apply_parser.add_argument(
         "--change", default="", help="id of the change; a change with the same id is never applied twice"
     )
-    applying.add_argument("--summary", default="", help="one-line description for the audit log")
-    asking = verbs.add_parser("change", help="show whether a change took effect")
-    asking.add_argument("id")
-    asking.set_defaults(command=show_change)
-    querying = verbs.add_parser("query", help="run one line of the query and command language")
-    querying.add_argument("line")
-    querying.set_defaults(command=query)
-    verbs.add_parser(
+    apply_parser.add_argument("--summary", default="", help="one-line description for the audit log")
+    change_parser = subparsers.add_parser("change", help="show whether a change took effect")
+    change_parser.add_argument("id")
+    change_parser.set_defaults(command=show_change)
+    query_parser = subparsers.add_parser("query", help="run one line of the query and command language")
+    query_parser.add_argument("line")
+    query_parser.set_defaults(command=query)
+    subparsers.add_parser(
         "traffic", help="show the nodes and servers of the users' platform; --nodes takes metrics addresses"
     ).set_defaults(command=show_traffic)
-    explaining = verbs.add_parser("explain", help="show how a request on the users' platform was handled")
-    explaining.add_argument("request")
-    explaining.set_defaults(command=explain)
-    _add_losses(verbs.add_parser("losses", help="show from log lines which requests were late or not served, and why"))
-    verbs.add_parser("prompt", help="run lines from standard input").set_defaults(command=prompt)
-    verbs.add_parser("schema", help="print the JSON Schema of declarations").set_defaults(command=show_schema)
+    explain_parser = subparsers.add_parser("explain", help="show how a request on the users' platform was handled")
+    explain_parser.add_argument("request")
+    explain_parser.set_defaults(command=explain)
+    _add_losses(
+        subparsers.add_parser("losses", help="show from log lines which requests were late or not served, and why")
+    )
+    subparsers.add_parser("prompt", help="run lines from standard input").set_defaults(command=prompt)
+    subparsers.add_parser("schema", help="print the JSON Schema of declarations").set_defaults(command=show_schema)
     return parser
 
 
@@ -99,7 +101,7 @@
     return OperatorClient(nodes, os.environ.get(KEY_VARIABLE, ""), options.authority)
 
 
-def _load(options: argparse.Namespace) -> Configuration | None:
+def _load_or_report(options: argparse.Namespace) -> Configuration | None:
     declared = load_declarations(options.files)
     if isinstance(declared, Configuration):
         return declared
@@ -110,18 +112,18 @@
 
 def check(options: argparse.Namespace) -> Exit:
     """Check declarations without contacting a node."""
-    return Exit.FAULTY if _load(options) is None else Exit.DONE
+    return Exit.FAULTY if _load_or_report(options) is None else Exit.DONE
 
 
 def diff(options: argparse.Namespace) -> Exit:
     """Compare declarations with the configuration in force."""
-    declared = _load(options)
+    declared = _load_or_report(options)
     if declared is None:
         return Exit.FAULTY
-    present = _make_client(options).read_configuration()
-    if isinstance(present, NoAnswer):
-        return report_no_answer(present)
-    differences = compare_configurations(present, declared)
+    current = _make_client(options).read_configuration()
+    if isinstance(current, NoAnswer):
+        return report_no_answer(current)
+    differences = compare_configurations(current, declared)
     for difference in differences:
         print(difference)
     return Exit.DIFFERENT if differences else Exit.DONE
@@ -129,16 +131,16 @@
 
 def apply(options: argparse.Namespace) -> Exit:
     """Put declarations in force; draining VMs stay draining unless the declarations list draining VMs themselves."""
-    declared = _load(options)
+    declared = _load_or_report(options)
     if declared is None:
         return Exit.FAULTY
     client = _make_client(options)
-    present = client.read_configuration()
-    if isinstance(present, NoAnswer):
-        return report_no_answer(present)
-    declared = msgspec.structs.replace(declared, draining=declared.draining or present.draining)
+    current = client.read_configuration()
+    if isinstance(current, NoAnswer):
+        return report_no_answer(current)
+    declared = msgspec.structs.replace(declared, draining=declared.draining or current.draining)
     change = ChangeId(options.change or uuid.uuid4().hex)
-    return report_change(change, client.propose(ProposalBody(change, options.summary, present.revision, declared)))
+    return report_change(change, client.propose(ProposalBody(change, options.summary, current.revision, declared)))
 
 
 def show_change(options: argparse.Namespace) -> Exit:
