--- a/packages/cli/src/vaneturn_cli/client.py
+++ b/packages/cli/src/vaneturn_cli/client.py
@@ -15,7 +15,7 @@
 from vaneturn_core.identifiers import ChangeId, RequestId
 from vaneturn_core.operators import ChangeAnswer, ChangeStatus, EndedRequest, NodeState, ProposalBody
 
-TIMEOUT: Final = 15.0  # seconds; longer than a node takes to settle a write whose answer was lost
+TIMEOUT_S: Final = 15.0  # seconds; longer than a node takes to settle a write whose answer was lost
 
 _Body = TypeVar("_Body")
 
@@ -40,7 +40,7 @@
         """
         self.nodes = tuple(nodes)
         verify = ssl.create_default_context(cafile=authority) if authority else True
-        self._client = httpx.Client(headers={"Authorization": f"Bearer {key}"}, timeout=TIMEOUT, verify=verify)
+        self._client = httpx.Client(headers={"Authorization": f"Bearer {key}"}, timeout=TIMEOUT_S, verify=verify)
 
     def read_state(self, node: str) -> NodeState | NoAnswer:
         """Read the state that one node reports."""
@@ -72,16 +72,16 @@
         answers = (self._call(node, "GET", f"requests/{request}", EndedRequest) for node in self.nodes)
         return next((answer for answer in answers if isinstance(answer, EndedRequest)), None)
 
-    def _call_any(self, method: str, path: str, kind: type[_Body], content: bytes) -> _Body | NoAnswer:
+    def _call_any(self, method: str, path: str, body_type: type[_Body], content: bytes) -> _Body | NoAnswer:
         answer: _Body | NoAnswer = NoAnswer("", "no node given")
         for node in self.nodes:
-            answer = self._call(node, method, path, kind, content)
+            answer = self._call(node, method, path, body_type, content)
             if not isinstance(answer, NoAnswer):
                 break
         return answer
 
     def _call(
-        self, node: str, method: str, path: str, kind: type[_Body], content: bytes | None = None
+        self, node: str, method: str, path: str, body_type: type[_Body], content: bytes | None = None
     ) -> _Body | NoAnswer:
         try:
             response = self._client.request(method, f"{_make_url(node)}/operator/v1/{path}", content=content)
@@ -90,7 +90,7 @@
         if response.status_code == httpx.codes.UNAUTHORIZED:
             return NoAnswer(node, "unknown operator key")
         try:
-            return msgspec.json.decode(response.content, type=kind)
+            return msgspec.json.decode(response.content, type=body_type)
         except msgspec.DecodeError as error:
             return NoAnswer(node, str(error))
 
--- a/packages/cli/src/vaneturn_cli/declarations.py
+++ b/packages/cli/src/vaneturn_cli/declarations.py
@@ -13,7 +13,7 @@
 from vaneturn_core.configuration.schema import Configuration
 from vaneturn_core.faults import Fault
 
-_SET_BY_SYSTEM = {"revision", "changes"}
+_SYSTEM_SECTIONS = {"revision", "changes"}
 
 
 def load_declarations(paths: Sequence[Path]) -> Configuration | list[Fault]:
@@ -47,9 +47,9 @@
     checked = decode_configuration(data)
     if isinstance(checked, Fault):
         return Fault(f"{path}: {checked.path}", checked.expected)
-    named = _SET_BY_SYSTEM & sections.keys()
-    if named:
-        return Fault(f"{path}: $.{min(named)}", "expected no such section: the system sets it")
+    forbidden = _SYSTEM_SECTIONS & sections.keys()
+    if forbidden:
+        return Fault(f"{path}: $.{min(forbidden)}", "expected no such section: the system sets it")
     return sections
 
 
--- a/packages/cli/src/vaneturn_cli/difference.py
+++ b/packages/cli/src/vaneturn_cli/difference.py
@@ -14,7 +14,7 @@
 _SECTIONS: Final = ("servers", "pipelines", "services", "classes", "customers", "links", "draining")
 
 
-class Kind(Enum):
+class DifferenceKind(Enum):
     """What happened to an entry."""
 
     ADDED = "+"
@@ -26,7 +26,7 @@
 class Difference:
     """One entry that differs."""
 
-    kind: Kind
+    kind: DifferenceKind
     section: str
     entry: str
     fields: tuple[str, ...] = ()  # the changed ones
@@ -46,12 +46,12 @@
     after = {_name_entry(entry): entry for entry in getattr(new, section)}
     for name, entry in after.items():
         if name not in before:
-            yield Difference(Kind.ADDED, section, name)
+            yield Difference(DifferenceKind.ADDED, section, name)
         elif before[name] != entry:
-            yield Difference(Kind.CHANGED, section, name, _list_changed_fields(before[name], entry))
+            yield Difference(DifferenceKind.CHANGED, section, name, _list_changed_fields(before[name], entry))
     for name in before:
         if name not in after:
-            yield Difference(Kind.REMOVED, section, name)
+            yield Difference(DifferenceKind.REMOVED, section, name)
 
 
 def _name_entry(entry: Any) -> str:
@@ -67,4 +67,4 @@
     return tuple(name for name in after if before[name] != after[name])
 
 
-__all__ = ["Difference", "Kind", "compare_configurations"]
+__all__ = ["Difference", "DifferenceKind", "compare_configurations"]
--- a/packages/cli/src/vaneturn_cli/editing.py
+++ b/packages/cli/src/vaneturn_cli/editing.py
@@ -48,10 +48,10 @@
 
 def _roll_out(configuration: Configuration, name: str, version: str) -> Configuration | str:
     """Declare a new version; the previous one keeps serving until every server has the new one."""
-    present = next((pipeline.version for pipeline in configuration.pipelines if pipeline.name == name), version)
-    if present == version:
+    current = next((pipeline.version for pipeline in configuration.pipelines if pipeline.name == name), version)
+    if current == version:
         return _edit_pipeline(configuration, name, version=version)
-    return _edit_pipeline(configuration, name, version=version, previous_version=present)
+    return _edit_pipeline(configuration, name, version=version, previous_version=current)
 
 
 def _edit_pipeline(configuration: Configuration, name: str, **fields: object) -> Configuration | str:
--- a/packages/cli/src/vaneturn_cli/language.py
+++ b/packages/cli/src/vaneturn_cli/language.py
@@ -153,7 +153,7 @@
         return f"{self.line}\n{marker}\nexpected one of: {', '.join(self.expected)}"
 
 
-class _Meaning(Transformer[Token, Statement]):
+class _StatementTransformer(Transformer[Token, Statement]):
     """Turns the parse tree of a line into its statement."""
 
     def start(self, parts: list[Statement]) -> Statement:
@@ -196,7 +196,7 @@
 def parse_statement(line: str) -> Statement | SyntaxFault:
     """Parse one line."""
     try:
-        return _Meaning().transform(_PARSER.parse(line))
+        return _StatementTransformer().transform(_PARSER.parse(line))
     except UnexpectedInput as error:
         is_at_end = error.column < 1 or (isinstance(error, UnexpectedToken) and error.token.type == "$END")
         column = len(line) + 1 if is_at_end else error.column
@@ -208,10 +208,10 @@
 def _list_expected(error: UnexpectedInput) -> set[str]:
     names: set[str] = set(getattr(error, "accepts", None) or getattr(error, "expected", None) or ())
     names |= set(getattr(error, "allowed", None) or ())
-    return {_DESCRIPTIONS.get(name, name.lower()) for name in names - {"WS"}}
+    return {_TOKEN_DESCRIPTIONS.get(name, name.lower()) for name in names - {"WS"}}
 
 
-_DESCRIPTIONS: Final = {
+_TOKEN_DESCRIPTIONS: Final = {
     "$END": "the end",
     "TOPIC": " ".join(topic.value for topic in Topic),
     "OPERATOR": "= != < > ~",
--- a/packages/cli/src/vaneturn_cli/querying.py
+++ b/packages/cli/src/vaneturn_cli/querying.py
@@ -39,7 +39,7 @@
         return Exit.FAULTY
     if isinstance(statement, Show | WhySession | WhyVm | WhyRefused):
         return _answer_query(client, statement, as_json=as_json)
-    return _carry_out(client, statement, line)
+    return _apply_edit(client, statement, line)
 
 
 def run_prompt(client: OperatorClient, *, as_json: bool) -> Exit:
@@ -55,7 +55,7 @@
             run_statement(client, line, as_json=as_json)
 
 
-def _take_view(client: OperatorClient) -> View | NoAnswer:
+def _fetch_view(client: OperatorClient) -> View | NoAnswer:
     taken_at = time.monotonic()
     configuration = client.read_configuration()
     if isinstance(configuration, NoAnswer):
@@ -67,7 +67,7 @@
 
 
 def _answer_query(client: OperatorClient, query: Query, *, as_json: bool) -> Exit:
-    view = _take_view(client)
+    view = _fetch_view(client)
     if isinstance(view, NoAnswer):
         return report_no_answer(view)
     match query:
@@ -98,16 +98,16 @@
     print(view.describe(), file=sys.stderr)
 
 
-def _carry_out(client: OperatorClient, edit: Edit, line: str) -> Exit:
-    present = client.read_configuration()
-    if isinstance(present, NoAnswer):
-        return report_no_answer(present)
-    edited = edit_configuration(present, edit)
+def _apply_edit(client: OperatorClient, edit: Edit, line: str) -> Exit:
+    current = client.read_configuration()
+    if isinstance(current, NoAnswer):
+        return report_no_answer(current)
+    edited = edit_configuration(current, edit)
     if isinstance(edited, str):
         print(edited, file=sys.stderr)
         return Exit.FAULTY
     change = ChangeId(uuid.uuid4().hex)
-    return report_change(change, client.propose(ProposalBody(change, line, present.revision, edited)))
+    return report_change(change, client.propose(ProposalBody(change, line, current.revision, edited)))
 
 
 __all__ = ["run_prompt", "run_statement"]
--- a/packages/cli/src/vaneturn_cli/reporting.py
+++ b/packages/cli/src/vaneturn_cli/reporting.py
@@ -10,7 +10,7 @@
 from vaneturn_core.identifiers import ChangeId
 from vaneturn_core.operators import ChangeAnswer, ChangeStatus
 
-_EXITS: Final = {
+_EXITS_BY_STATUS: Final = {
     ChangeStatus.APPLIED: Exit.DONE,
     ChangeStatus.REJECTED: Exit.FAULTY,
     ChangeStatus.OVERTAKEN: Exit.OVERTAKEN,
@@ -33,7 +33,7 @@
         report_no_answer(answer)
         return Exit.UNSETTLED
     print(_describe_change(change, answer))
-    return _EXITS[answer.result]
+    return _EXITS_BY_STATUS[answer.result]
 
 
 def _describe_change(change: ChangeId, answer: ChangeAnswer) -> str:
@@ -41,8 +41,8 @@
     if answer.cause:
         lines.append(answer.cause)
     if answer.result is ChangeStatus.OVERTAKEN and answer.change is not None:
-        winner = answer.change
-        lines.append(f"change {winner.id} of {winner.operator} came first, as revision {winner.revision}")
+        earlier = answer.change
+        lines.append(f"change {earlier.id} of {earlier.operator} came first, as revision {earlier.revision}")
     elif answer.change is not None:
         lines.append(f"revision {answer.change.revision}")
     return "\n".join(lines)
