--- a/packages/cli/src/vaneturn_cli/losses.py
+++ b/packages/cli/src/vaneturn_cli/losses.py
@@ -15,15 +15,15 @@
 
 from vaneturn_core.traffic.state import TrafficRequest
 
-MESSAGE: Final = "request ended"
-WHOLE: Final = re.compile(r"^(whole|status 2\d\d)$")
-OWN_REFUSAL: Final = re.compile(r"^own (503|429|408|421) ")
-LEFT: Final = "client left"
-BROKEN: Final = "broken off"
+REQUEST_ENDED_MESSAGE: Final = "request ended"
+SERVED_ENDING: Final = re.compile(r"^(whole|status 2\d\d)$")
+OWN_REFUSAL_ENDING: Final = re.compile(r"^own (503|429|408|421) ")
+CLIENT_LEFT_ENDING: Final = "client left"
+BROKEN_OFF_ENDING: Final = "broken off"
 NO_STEP: Final = "no step"
-_STEP_TIME: Final = re.compile(r"^\d+ms ")
-_SERVER: Final = re.compile(r"\b(i-[0-9a-zA-Z]+)\b(\[\d+,\d+\))?")
-_SENT: Final = "over "  # marks the step that names the chain of servers; it is not a cause
+_STEP_TIME_PREFIX: Final = re.compile(r"^\d+ms ")
+_SERVER_PATTERN: Final = re.compile(r"\b(i-[0-9a-zA-Z]+)\b(\[\d+,\d+\))?")
+_CHAIN_STEP_MARK: Final = "over "  # marks the step that names the chain of servers; it is not a cause
 
 
 class Loss(Enum):
@@ -45,7 +45,7 @@
     pause: float  # seconds between two events
 
 
-class _Line(msgspec.Struct):
+class _LogLine(msgspec.Struct):
     """A log line about the end of a request; the fields of the request are on the same level."""
 
     message: str
@@ -110,38 +110,43 @@
         """List kind, cause, requests, routes, worst second and the requests of that second, most requests first."""
         rows = []
         for key, seconds in self.seconds.items():
-            worst, most = seconds.most_common(1)[0]
-            rows.append((key[0].value, key[1], seconds.total(), len(self.routes[key]), worst, most))
+            worst_second, worst_count = seconds.most_common(1)[0]
+            rows.append((key[0].value, key[1], seconds.total(), len(self.routes[key]), worst_second, worst_count))
         return sorted(rows, key=lambda row: -row[2])
 
 
 def find_loss(request: TrafficRequest, limits: Limits) -> Loss | None:
     """Find the kind of loss; None if the request was served in time or refused because of what the client sent."""
-    if WHOLE.match(request.ending):
+    if SERVED_ENDING.match(request.ending):
         if request.first_event > limits.first_event:
             return Loss.FIRST_EVENT
         return Loss.PAUSE if request.longest_pause > limits.pause else None
-    if request.ending == LEFT:
+    if request.ending == CLIENT_LEFT_ENDING:
         return Loss.CLIENT_LEFT
-    if request.ending == BROKEN:
+    if request.ending == BROKEN_OFF_ENDING:
         return Loss.BROKEN_OFF
-    if OWN_REFUSAL.match(request.ending):
+    if OWN_REFUSAL_ENDING.match(request.ending):
         return Loss.REFUSED
     return Loss.FAILED if re.search(r"\b5\d\d\b", request.ending) else None
 
 
 def find_cause(request: TrafficRequest) -> str:
     """Find the steps that delayed a request, without times and server names; high load alone leaves no step."""
-    steps = [_SERVER.sub("S", _STEP_TIME.sub("", step)) for step in request.steps]
-    causes = dict.fromkeys(step for step in steps if not step.startswith(_SENT))
+    steps = [_SERVER_PATTERN.sub("S", _STEP_TIME_PREFIX.sub("", step)) for step in request.steps]
+    causes = dict.fromkeys(step for step in steps if not step.startswith(_CHAIN_STEP_MARK))
     return "; ".join(causes) or request.reason or NO_STEP
 
 
 def find_servers(request: TrafficRequest) -> set[str]:
     """Find the suspect servers: those that steps name as lost or refusing, or else the first of the last chain."""
-    named = {server.group(1) for step in request.steps if _SENT not in step for server in _SERVER.finditer(step)}
-    chains = [step for step in request.steps if _SENT in step]
-    first = _SERVER.search(chains[-1]) if chains else None
+    named = {
+        server.group(1)
+        for step in request.steps
+        if _CHAIN_STEP_MARK not in step
+        for server in _SERVER_PATTERN.finditer(step)
+    }
+    chains = [step for step in request.steps if _CHAIN_STEP_MARK in step]
+    first = _SERVER_PATTERN.search(chains[-1]) if chains else None
     return named or ({first.group(1)} if first is not None else set())
 
 
@@ -149,27 +154,29 @@
     """Read log lines; text before the JSON of a line is skipped, and other messages are ignored."""
     table = LossTable()
     for line in lines:
-        if MESSAGE not in line:
+        if REQUEST_ENDED_MESSAGE not in line:
             continue
         text = line[line.find("{") :]
         try:
-            head = msgspec.json.decode(text, type=_Line)
-            if head.message == MESSAGE:
-                table.add(msgspec.json.decode(text, type=TrafficRequest), head.time[:19], limits)
+            log_line = msgspec.json.decode(text, type=_LogLine)
+            if log_line.message == REQUEST_ENDED_MESSAGE:
+                table.add(msgspec.json.decode(text, type=TrafficRequest), log_line.time[:19], limits)
         except msgspec.DecodeError:
             table.faulty_lines += 1
     return table
 
 
-def format_losses(table: LossTable, most: int) -> str:
+def format_losses(table: LossTable, max_rows: int) -> str:
     """Format the table, the rows with the most requests first."""
     rows = table.list_rows()
-    lost = sum(row[2] for row in rows)
+    loss_count = sum(row[2] for row in rows)
     text = tabulate(
-        rows[:most], headers=("loss", "cause", "requests", "routes", "worst second", "then"), maxcolwidths=[None, 70]
+        rows[:max_rows],
+        headers=("loss", "cause", "requests", "routes", "worst second", "then"),
+        maxcolwidths=[None, 70],
     )
-    left_out = f", {len(rows) - most} rows left out" if len(rows) > most else ""
-    return f"{table.requests} requests, {lost} late or not served{left_out}\n\n{text}\n\n{format_pauses(table)}"
+    left_out = f", {len(rows) - max_rows} rows left out" if len(rows) > max_rows else ""
+    return f"{table.requests} requests, {loss_count} late or not served{left_out}\n\n{text}\n\n{format_pauses(table)}"
 
 
 def format_pauses(table: LossTable) -> str:
@@ -177,10 +184,10 @@
     text = f"{len(table.pauses)} long pauses after a loss"
     if table.pauses:
         medians = [median(part) for part in zip(*table.pauses, strict=True)]
-        named = [
+        named_medians = [
             f"{name.replace('_', ' ')} {value:.3f}" for name, value in zip(PauseParts._fields, medians, strict=True)
         ]
-        text += f", medians in seconds: {', '.join(named)}"
+        text += f", medians in seconds: {', '.join(named_medians)}"
     return f"{text}; {table.unexplained} without a step"
 
 
--- a/packages/cli/src/vaneturn_cli/lossplot.py
+++ b/packages/cli/src/vaneturn_cli/lossplot.py
@@ -9,9 +9,9 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-WIDTH: Final = 110  # characters
-HEIGHT: Final = 16  # lines of the plot by second
-MOST_SERVERS: Final = 12
+PLOT_WIDTH: Final = 110  # characters
+PLOT_HEIGHT: Final = 16  # lines of the plot by second
+MAX_SERVERS: Final = 12
 MARKS: Final = {
     Loss.FIRST_EVENT: "f",
     Loss.PAUSE: "p",
@@ -36,12 +36,14 @@
     heights = [[by_second[second][kind] for second in seconds] for kind in kinds]
     labels = [second[-8:] for second in seconds]
     parts = [f"late or not served, by second ({legend})", _draw(labels, heights, [MARKS[kind] for kind in kinds])]
-    servers = table.servers.most_common(MOST_SERVERS)
+    servers = table.servers.most_common(MAX_SERVERS)
     if servers:
-        width = max(len(server) for server, _ in servers)
-        most = servers[0][1]
+        name_width = max(len(server) for server, _ in servers)
+        highest_count = servers[0][1]
         parts.append("servers that they name, most first")
-        parts += [f"{server:{width}} {count:6} {'#' * max(1, 60 * count // most)}" for server, count in servers]
+        parts += [
+            f"{server:{name_width}} {count:6} {'#' * max(1, 60 * count // highest_count)}" for server, count in servers
+        ]
     return "\n".join(parts)
 
 
@@ -50,7 +52,7 @@
 
     figure = plotext.figure
     figure.clear()
-    figure.plot_size(WIDTH, HEIGHT)
+    figure.plot_size(PLOT_WIDTH, PLOT_HEIGHT)
     figure.draw(figure.bar(list(labels), [list(row) for row in heights], stacked=True, marker=list(marks)))
     return str(plotext.uncolorize(str(figure.build()))).rstrip()
 
