--- a/packages/cli/src/vaneturn_cli/querying.py
+++ b/packages/cli/src/vaneturn_cli/querying.py
@@ -62,8 +62,8 @@
         return configuration
     answers = [client.read_state(node) for node in client.nodes]
     states = tuple(answer for answer in answers if isinstance(answer, NodeState))
-    missing = tuple(answer for answer in answers if isinstance(answer, NoAnswer))
-    return View(configuration, states, missing, taken_at)
+    no_answers = tuple(answer for answer in answers if isinstance(answer, NoAnswer))
+    return View(configuration, states, no_answers, taken_at)
 
 
 def _answer_query(client: OperatorClient, query: Query, *, as_json: bool) -> Exit:
--- a/packages/cli/src/vaneturn_cli/reasons.py
+++ b/packages/cli/src/vaneturn_cli/reasons.py
@@ -25,12 +25,12 @@
 
 def explain_vm(view: View, vm: VmId) -> list[str]:
     """Explain what a VM is used for and why nodes limit or avoid it."""
-    said = group_servers(view).get(vm, [])
+    reported_states = group_servers(view).get(vm, [])
     work = describe_work(view, vm)
-    if not work and not said:
+    if not work and not reported_states:
         return [f"no declared server {vm}"]
-    lines = [f"vm {vm}: {describe_standing(said)}", f"declared for: {work or 'nothing'}"]
-    parts = describe_parts(said)
+    lines = [f"vm {vm}: {describe_standing(reported_states)}", f"declared for: {work or 'nothing'}"]
+    parts = describe_parts(reported_states)
     lines += [f"holds: {parts}"] * bool(parts)
     for state in view.states:
         for server in state.servers:
--- a/packages/cli/src/vaneturn_cli/tables.py
+++ b/packages/cli/src/vaneturn_cli/tables.py
@@ -31,29 +31,29 @@
 
     configuration: Configuration
     states: tuple[NodeState, ...]
-    missing: tuple[NoAnswer, ...]
+    no_answers: tuple[NoAnswer, ...]
     taken_at: float  # monotonic time before the first read, seconds
 
     def describe(self) -> str:
         """Describe how old the view is and which nodes did not answer."""
         age = time.monotonic() - self.taken_at
         text = f"revision {self.configuration.revision}, {len(self.states)} nodes answered, view {age:.1f} s old"
-        if self.missing:
-            text += "; no answer: " + ", ".join(f"{answer.node} ({answer.cause})" for answer in self.missing)
+        if self.no_answers:
+            text += "; no answer: " + ", ".join(f"{answer.node} ({answer.cause})" for answer in self.no_answers)
         return text
 
 
 def make_table(topic: Topic, view: View, conditions: Sequence[Condition]) -> Table | str:
     """Make the table of a topic, or return an error that names the unknown column."""
-    table = _MAKERS[topic](view)
-    unknown = [condition.column for condition in conditions if condition.column not in table.columns]
-    if unknown:
-        return f"no column {unknown[0]!r}; the columns are {', '.join(table.columns)}"
-    rows = [row for row in table.rows if all(_holds(condition, table.columns, row) for condition in conditions)]
+    table = _TABLE_MAKERS[topic](view)
+    unknown_columns = [condition.column for condition in conditions if condition.column not in table.columns]
+    if unknown_columns:
+        return f"no column {unknown_columns[0]!r}; the columns are {', '.join(table.columns)}"
+    rows = [row for row in table.rows if all(_matches(condition, table.columns, row) for condition in conditions)]
     return Table(table.columns, tuple(rows))
 
 
-def _holds(condition: Condition, columns: Sequence[str], row: Sequence[Cell]) -> bool:
+def _matches(condition: Condition, columns: Sequence[str], row: Sequence[Cell]) -> bool:
     cell = row[columns.index(condition.column)]
     if condition.operator is Operator.CONTAINS:
         return condition.value in str(cell)
@@ -68,7 +68,7 @@
     return difference < 0 if condition.operator is Operator.LESS else difference > 0
 
 
-def _show_pipelines(view: View) -> Table:
+def _tabulate_pipelines(view: View) -> Table:
     bounds: defaultdict[str, float] = defaultdict(float)
     for state in view.states:
         for name, bound in state.bounds.items():
@@ -111,22 +111,22 @@
     return " ".join([*stages, *(service.name for service in view.configuration.services if vm in service.servers)])
 
 
-def describe_standing(said: Iterable[ServerState]) -> str:
+def describe_standing(reported_states: Iterable[ServerState]) -> str:
     """Summarize the states that nodes report of a server."""
-    known = list(said)
-    leaving = sorted({source for server in known for source in server.leaving})
+    states = list(reported_states)
+    leaving = sorted({source for server in states for source in server.leaving})
     if leaving:
         return "leaving: " + ", ".join(leaving)
-    if known and not any(server.connected for server in known):
+    if states and not any(server.connected for server in states):
         return "down"
-    if any(server.ejected for server in known):
+    if any(server.ejected for server in states):
         return "ejected by some"
     return "in use"
 
 
-def describe_parts(said: Iterable[ServerState]) -> str:
+def describe_parts(reported_states: Iterable[ServerState]) -> str:
     """List the parts held by an engine that takes orders, as reported by the first node that knows them."""
-    for server in said:
+    for server in reported_states:
         parts = [*server.held, *(f"loading {part}" for part in server.loading)]
         parts += [f"ending {part}" for part in server.ending]
         if parts:
@@ -134,25 +134,25 @@
     return ""
 
 
-def _show_vms(view: View) -> Table:
-    said = group_servers(view)
+def _tabulate_vms(view: View) -> Table:
+    states_by_vm = group_servers(view)
     rows = tuple(
         (
             server.vm,
             server.data_hall,
             server.accelerator,
             describe_work(view, server.vm),
-            describe_parts(said.get(server.vm, ())),
-            describe_standing(said.get(server.vm, ())),
-            sum(known.in_progress for known in said.get(server.vm, ())),
-            round(max((known.latency for known in said.get(server.vm, ())), default=0.0) * 1e3, 1),
+            describe_parts(states_by_vm.get(server.vm, ())),
+            describe_standing(states_by_vm.get(server.vm, ())),
+            sum(state.in_progress for state in states_by_vm.get(server.vm, ())),
+            round(max((state.latency for state in states_by_vm.get(server.vm, ())), default=0.0) * 1e3, 1),
         )
         for server in view.configuration.servers
     )
     return Table(("vm", "hall", "accelerator", "work", "holds", "standing", "steps", "latency_ms"), rows)
 
 
-def _show_sessions(view: View) -> Table:
+def _tabulate_sessions(view: View) -> Table:
     rows = tuple(
         (
             session.request,
@@ -168,7 +168,7 @@
     return Table(("session", "customer", "pipeline", "node", "recoveries", "route"), rows)
 
 
-def _show_customers(view: View) -> Table:
+def _tabulate_customers(view: View) -> Table:
     rows = tuple(
         (
             customer.name,
@@ -181,7 +181,7 @@
     return Table(("name", "class", "max_in_progress", "sessions"), rows)
 
 
-def _show_changes(view: View) -> Table:
+def _tabulate_changes(view: View) -> Table:
     rows = tuple(
         (
             change.revision,
@@ -195,7 +195,7 @@
     return Table(("revision", "id", "operator", "utc", "summary"), rows)
 
 
-def _show_nodes(view: View) -> Table:
+def _tabulate_nodes(view: View) -> Table:
     rows = tuple(
         (
             state.vm,
@@ -210,13 +210,13 @@
     return Table(("vm", "node", "hall", "revision", "state", "fence"), rows)
 
 
-_MAKERS: Final[dict[Topic, Callable[[View], Table]]] = {
-    Topic.PIPELINES: _show_pipelines,
-    Topic.VMS: _show_vms,
-    Topic.SESSIONS: _show_sessions,
-    Topic.CUSTOMERS: _show_customers,
-    Topic.CHANGES: _show_changes,
-    Topic.NODES: _show_nodes,
+_TABLE_MAKERS: Final[dict[Topic, Callable[[View], Table]]] = {
+    Topic.PIPELINES: _tabulate_pipelines,
+    Topic.VMS: _tabulate_vms,
+    Topic.SESSIONS: _tabulate_sessions,
+    Topic.CUSTOMERS: _tabulate_customers,
+    Topic.CHANGES: _tabulate_changes,
+    Topic.NODES: _tabulate_nodes,
 }
 
 __all__ = ["Table", "View", "describe_parts", "describe_standing", "describe_work", "group_servers", "make_table"]
--- a/packages/cli/src/vaneturn_cli/traffic.py
+++ b/packages/cli/src/vaneturn_cli/traffic.py
@@ -12,7 +12,7 @@
 from vaneturn_cli.client import NoAnswer
 from vaneturn_core.traffic.state import SeenServer, TrafficRequest, TrafficState
 
-TIMEOUT: Final = 3.0  # seconds; a node answers from memory
+TIMEOUT_S: Final = 3.0  # seconds; a node answers from memory
 STEP_INDENT: Final = "  "
 SERVER_COLUMNS: Final = (
     "server", "service", "data hall", "address", "state", "layers", "in progress", "rests s", "slowness", "limit /s",
@@ -38,15 +38,15 @@
     return _get(node, f"/requests/{request}", TrafficRequest)
 
 
-def _get(node: str, path: str, kind: type[_Body]) -> _Body | NotThere | NoAnswer:
+def _get(node: str, path: str, body_type: type[_Body]) -> _Body | NotThere | NoAnswer:
     try:
-        response = httpx.get(f"http://{node}{path}", timeout=TIMEOUT)
+        response = httpx.get(f"http://{node}{path}", timeout=TIMEOUT_S)
     except httpx.HTTPError as error:
         return NoAnswer(node, type(error).__name__)
     if response.status_code == httpx.codes.NOT_FOUND:
         return NotThere()
     try:
-        return msgspec.json.decode(response.content, type=kind)
+        return msgspec.json.decode(response.content, type=body_type)
     except msgspec.DecodeError as error:
         return NoAnswer(node, str(error))
 
@@ -55,15 +55,24 @@
     """Format the nodes, and the servers as the first of them sees them."""
     nodes = tabulate(
         [
-            (s.vm, s.version, s.age, s.is_ready, s.is_stopping, s.has_tenure, s.relay or "store", s.in_progress)
-            for s in states
+            (
+                state.vm,
+                state.version,
+                state.age,
+                state.is_ready,
+                state.is_stopping,
+                state.has_tenure,
+                state.relay or "store",
+                state.in_progress,
+            )
+            for state in states
         ],
         headers=("vm", "version", "age s", "ready", "stopping", "tenure", "asks", "in progress"),
     )
     if not states:
         return nodes
     servers = tabulate(
-        [_list_cells(server) for server in sorted(states[0].servers, key=lambda one: (one.service, one.data_hall))],
+        [_list_cells(server) for server in sorted(states[0].servers, key=lambda seen: (seen.service, seen.data_hall))],
         headers=SERVER_COLUMNS,
     )
     return f"{nodes}\n\nservers as {states[0].vm} sees them\n{servers}"
