--- a/packages/cli/src/vaneturn_cli/commands.py
+++ b/packages/cli/src/vaneturn_cli/commands.py
@@ -112,28 +112,28 @@
 
 def check(options: argparse.Namespace) -> Exit:
     """Check declarations without contacting a node."""
-    return Exit.FAULTY if _load_or_report(options) is None else Exit.DONE
+    return Exit.INVALID_INPUT if _load_or_report(options) is None else Exit.DONE
 
 
 def diff(options: argparse.Namespace) -> Exit:
     """Compare declarations with the configuration in force."""
     declared = _load_or_report(options)
     if declared is None:
-        return Exit.FAULTY
+        return Exit.INVALID_INPUT
     current = _make_client(options).read_configuration()
     if isinstance(current, NoAnswer):
         return report_no_answer(current)
     differences = compare_configurations(current, declared)
     for difference in differences:
         print(difference)
-    return Exit.DIFFERENT if differences else Exit.DONE
+    return Exit.DIFFERENT_OR_UNKNOWN if differences else Exit.DONE
 
 
 def apply(options: argparse.Namespace) -> Exit:
     """Put declarations in force; draining VMs stay draining unless the declarations list draining VMs themselves."""
     declared = _load_or_report(options)
     if declared is None:
-        return Exit.FAULTY
+        return Exit.INVALID_INPUT
     client = _make_client(options)
     current = client.read_configuration()
     if isinstance(current, NoAnswer):
@@ -181,7 +181,7 @@
             report_no_answer(answer)
     if any(isinstance(answer, NotThere) for answer in answers):
         print(f"request {options.request}: not among the newest requests of these nodes", file=sys.stderr)
-        return Exit.DIFFERENT
+        return Exit.DIFFERENT_OR_UNKNOWN
     return Exit.NO_ANSWER
 
 
@@ -194,14 +194,14 @@
             table = read_lines(lines, Limits(options.first_event, options.pause))
     except OSError as error:
         print(f"{error.filename}: {error.strerror}", file=sys.stderr)
-        return Exit.FAULTY
+        return Exit.INVALID_INPUT
     print(msgspec.json.encode(table.list_rows()).decode() if options.json else format_losses(table, options.most))
     if options.plot and not options.json:
         try:
             print(f"\n{plot_losses(table)}")
         except ImportError:
             print("plotext is not installed: pip install 'vaneturn-cli[plot]'", file=sys.stderr)
-            return Exit.FAULTY
+            return Exit.INVALID_INPUT
     if table.faulty_lines:
         print(f"{table.faulty_lines} lines could not be parsed", file=sys.stderr)
     return Exit.DONE
--- a/packages/cli/src/vaneturn_cli/querying.py
+++ b/packages/cli/src/vaneturn_cli/querying.py
@@ -36,7 +36,7 @@
     statement = parse_statement(line)
     if isinstance(statement, SyntaxFault):
         print(statement, file=sys.stderr)
-        return Exit.FAULTY
+        return Exit.INVALID_INPUT
     if isinstance(statement, Show | WhySession | WhyVm | WhyRefused):
         return _answer_query(client, statement, as_json=as_json)
     return _apply_edit(client, statement, line)
@@ -75,7 +75,7 @@
             table = make_table(topic, view, conditions)
             if isinstance(table, str):
                 print(table, file=sys.stderr)
-                return Exit.FAULTY
+                return Exit.INVALID_INPUT
             _print_table(table, view, as_json=as_json)
             return Exit.DONE
         case WhySession(request):
@@ -105,7 +105,7 @@
     edited = edit_configuration(current, edit)
     if isinstance(edited, str):
         print(edited, file=sys.stderr)
-        return Exit.FAULTY
+        return Exit.INVALID_INPUT
     change = ChangeId(uuid.uuid4().hex)
     return report_change(change, client.propose(ProposalBody(change, line, current.revision, edited)))
 
--- a/packages/cli/src/vaneturn_cli/reporting.py
+++ b/packages/cli/src/vaneturn_cli/reporting.py
@@ -12,11 +12,11 @@
 
 _EXITS_BY_STATUS: Final = {
     ChangeStatus.APPLIED: Exit.DONE,
-    ChangeStatus.REJECTED: Exit.FAULTY,
+    ChangeStatus.REJECTED: Exit.INVALID_INPUT,
     ChangeStatus.OVERTAKEN: Exit.OVERTAKEN,
     ChangeStatus.NOT_ACCEPTED: Exit.NO_ANSWER,
     ChangeStatus.UNSETTLED: Exit.UNSETTLED,
-    ChangeStatus.UNKNOWN: Exit.DIFFERENT,
+    ChangeStatus.UNKNOWN: Exit.DIFFERENT_OR_UNKNOWN,
 }
 
 
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -24,7 +24,7 @@
     customer = {"name": "a", "key_sha256": "0" * 64, "work_class": "portal"}
     customers = write(tmp_path / "customers.json", {"customers": [customer]})
     assert main(["check", classes, customers]) == Exit.DONE
-    assert main(["check", customers]) == Exit.FAULTY
+    assert main(["check", customers]) == Exit.INVALID_INPUT
 
 
 @pytest.mark.parametrize(
@@ -45,7 +45,7 @@
 def test_fault_names_its_place(
     tmp_path: Path, declared: object, place: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert main(["check", write(tmp_path / "declared.json", declared)]) == Exit.FAULTY
+    assert main(["check", write(tmp_path / "declared.json", declared)]) == Exit.INVALID_INPUT
     assert place in capsys.readouterr().err
 
 
--- a/tests/system/platform/test_operators_view.py
+++ b/tests/system/platform/test_operators_view.py
@@ -39,7 +39,7 @@
 async def test_unknown_request_and_absent_node_have_exit_codes_of_their_own(
     traffic: Traffic, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert await run(traffic, "explain", "nobodys") == Exit.DIFFERENT
+    assert await run(traffic, "explain", "nobodys") == Exit.DIFFERENT_OR_UNKNOWN
     traffic.nodes[0].process.kill()
     assert await run(traffic, "traffic") == Exit.NO_ANSWER
     assert "no answer from 127.0.0.1" in capsys.readouterr().err
--- a/tests/system/test_operators.py
+++ b/tests/system/test_operators.py
@@ -32,7 +32,7 @@
     assert "leaving, says operator" in capsys.readouterr().out
     assert main(["--nodes", nodes, "--json", "query", "show changes where operator = tester"]) == Exit.DONE
     assert json.loads(capsys.readouterr().out)[0]["summary"] == "drain vm runner-4a"
-    assert main(["--nodes", nodes, "query", "set priority portal 12"]) == Exit.FAULTY
+    assert main(["--nodes", nodes, "query", "set priority portal 12"]) == Exit.INVALID_INPUT
 
 
 def test_ended_request_is_explained(pair: Installation, nodes: str, capsys: pytest.CaptureFixture[str]) -> None:
