--- a/packages/cli/src/vaneturn_cli/client.py
+++ b/packages/cli/src/vaneturn_cli/client.py
@@ -67,7 +67,7 @@
                 break
         return answer
 
-    def find_ended(self, request: RequestId) -> EndedRequest | None:
+    def find_ended_request(self, request: RequestId) -> EndedRequest | None:
         """Ask the nodes for the record of an ended request until one knows it."""
         answers = (self._call(node, "GET", f"requests/{request}", EndedRequest) for node in self.nodes)
         return next((answer for answer in answers if isinstance(answer, EndedRequest)), None)
--- a/packages/cli/src/vaneturn_cli/commands.py
+++ b/packages/cli/src/vaneturn_cli/commands.py
@@ -22,7 +22,7 @@
 from vaneturn_cli.lossplot import plot_losses
 from vaneturn_cli.querying import run_prompt, run_statement
 from vaneturn_cli.reporting import report_change, report_no_answer
-from vaneturn_cli.traffic import NotThere, find_request, format_request, format_states, read_state
+from vaneturn_cli.traffic import NotFound, find_request, format_request, format_states, read_state
 from vaneturn_core.configuration.document import describe_schema
 from vaneturn_core.configuration.schema import Configuration
 from vaneturn_core.identifiers import ChangeId
@@ -179,7 +179,7 @@
             return Exit.DONE
         if isinstance(answer, NoAnswer):
             report_no_answer(answer)
-    if any(isinstance(answer, NotThere) for answer in answers):
+    if any(isinstance(answer, NotFound) for answer in answers):
         print(f"request {options.request}: not among the newest requests of these nodes", file=sys.stderr)
         return Exit.DIFFERENT_OR_UNKNOWN
     return Exit.NO_ANSWER
@@ -202,8 +202,8 @@
         except ImportError:
             print("plotext is not installed: pip install 'vaneturn-cli[plot]'", file=sys.stderr)
             return Exit.INVALID_INPUT
-    if table.faulty_lines:
-        print(f"{table.faulty_lines} lines could not be parsed", file=sys.stderr)
+    if table.invalid_lines:
+        print(f"{table.invalid_lines} lines could not be parsed", file=sys.stderr)
     return Exit.DONE
 
 
--- a/packages/cli/src/vaneturn_cli/losses.py
+++ b/packages/cli/src/vaneturn_cli/losses.py
@@ -66,7 +66,7 @@
     """Counts of losses by kind and cause."""
 
     requests: int = 0
-    faulty_lines: int = 0
+    invalid_lines: int = 0
     seconds: defaultdict[tuple[Loss, str], Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
     routes: defaultdict[tuple[Loss, str], set[str]] = field(default_factory=lambda: defaultdict(set))
     servers: Counter[str] = field(default_factory=Counter)  # named in steps of losses, counted once per request
@@ -81,7 +81,7 @@
             key = (loss, find_cause(request))
             self.seconds[key][second] += 1
             self.routes[key].add(request.route)
-            self.servers.update(find_servers(request))
+            self.servers.update(find_suspect_servers(request))
         if loss is Loss.PAUSE:
             self._add_pause(request)
 
@@ -137,7 +137,7 @@
     return "; ".join(causes) or request.reason or NO_STEP
 
 
-def find_servers(request: TrafficRequest) -> set[str]:
+def find_suspect_servers(request: TrafficRequest) -> set[str]:
     """Find the suspect servers: those that steps name as lost or refusing, or else the first of the last chain."""
     named = {
         server.group(1)
@@ -162,7 +162,7 @@
             if log_line.message == REQUEST_ENDED_MESSAGE:
                 table.add(msgspec.json.decode(text, type=TrafficRequest), log_line.time[:19], limits)
         except msgspec.DecodeError:
-            table.faulty_lines += 1
+            table.invalid_lines += 1
     return table
 
 
@@ -197,7 +197,7 @@
     "LossTable",
     "find_cause",
     "find_loss",
-    "find_servers",
+    "find_suspect_servers",
     "format_losses",
     "format_pauses",
     "read_lines",
--- a/packages/cli/src/vaneturn_cli/querying.py
+++ b/packages/cli/src/vaneturn_cli/querying.py
@@ -22,7 +22,7 @@
     WhyVm,
     parse_statement,
 )
-from vaneturn_cli.reasons import explain_ended, explain_session, explain_vm
+from vaneturn_cli.reasons import explain_ended_request, explain_session, explain_vm
 from vaneturn_cli.reporting import report_change, report_no_answer
 from vaneturn_cli.tables import Table, View, make_table
 from vaneturn_core.identifiers import ChangeId
@@ -83,7 +83,7 @@
         case WhyVm(vm):
             lines = explain_vm(view, vm)
         case WhyRefused(request):
-            lines = explain_ended(request, client.find_ended(request))
+            lines = explain_ended_request(request, client.find_ended_request(request))
     print(msgspec.json.encode(lines).decode() if as_json else "\n".join(lines))
     print(view.describe(), file=sys.stderr)
     return Exit.DONE
--- a/packages/cli/src/vaneturn_cli/reasons.py
+++ b/packages/cli/src/vaneturn_cli/reasons.py
@@ -43,7 +43,7 @@
     return lines
 
 
-def explain_ended(request: RequestId, ended: EndedRequest | None) -> list[str]:
+def explain_ended_request(request: RequestId, ended: EndedRequest | None) -> list[str]:
     """Explain how a request ended."""
     if ended is None:
         return [f"no node that answered remembers a request {request}; each remembers its newest ones only"]
@@ -54,4 +54,4 @@
     ]
 
 
-__all__ = ["explain_ended", "explain_session", "explain_vm"]
+__all__ = ["explain_ended_request", "explain_session", "explain_vm"]
--- a/packages/cli/src/vaneturn_cli/traffic.py
+++ b/packages/cli/src/vaneturn_cli/traffic.py
@@ -23,28 +23,28 @@
 
 
 @dataclass(frozen=True)
-class NotThere:
+class NotFound:
     """The node answered 404 Not Found: it does not know the request, or has no such path."""
 
 
 def read_state(node: str) -> TrafficState | NoAnswer:
     """Read the traffic state of a node from its metrics address."""
     answer = _get(node, "/state", TrafficState)
-    return NoAnswer(node, "no traffic state at this address") if isinstance(answer, NotThere) else answer
+    return NoAnswer(node, "no traffic state at this address") if isinstance(answer, NotFound) else answer
 
 
-def find_request(node: str, request: str) -> TrafficRequest | NotThere | NoAnswer:
+def find_request(node: str, request: str) -> TrafficRequest | NotFound | NoAnswer:
     """Ask a node how it handled a request."""
     return _get(node, f"/requests/{request}", TrafficRequest)
 
 
-def _get(node: str, path: str, body_type: type[_Body]) -> _Body | NotThere | NoAnswer:
+def _get(node: str, path: str, body_type: type[_Body]) -> _Body | NotFound | NoAnswer:
     try:
         response = httpx.get(f"http://{node}{path}", timeout=TIMEOUT_S)
     except httpx.HTTPError as error:
         return NoAnswer(node, type(error).__name__)
     if response.status_code == httpx.codes.NOT_FOUND:
-        return NotThere()
+        return NotFound()
     try:
         return msgspec.json.decode(response.content, type=body_type)
     except msgspec.DecodeError as error:
@@ -102,4 +102,4 @@
     return "\n".join(lines)
 
 
-__all__ = ["NotThere", "find_request", "format_request", "format_states", "read_state"]
+__all__ = ["NotFound", "find_request", "format_request", "format_states", "read_state"]
--- a/tests/cli/test_losses.py
+++ b/tests/cli/test_losses.py
@@ -11,7 +11,7 @@
 import pytest
 
 from vaneturn_cli.commands import main
-from vaneturn_cli.losses import Limits, Loss, find_cause, find_loss, find_servers, format_pauses, read_lines
+from vaneturn_cli.losses import Limits, Loss, find_cause, find_loss, find_suspect_servers, format_pauses, read_lines
 from vaneturn_core.traffic.state import TrafficRequest
 
 LIMITS = Limits(first_event=0.5, pause=0.2)
@@ -73,7 +73,7 @@
     ]
     table = read_lines(lines, LIMITS)
     assert table.requests == 4
-    assert table.faulty_lines == 1
+    assert table.invalid_lines == 1
     assert table.list_rows() == [("refused", "no_chain", 3, 2, "2026-05-13 21:59:07", 2)]
 
 
@@ -96,9 +96,11 @@
 
 def test_servers_to_look_at_are_those_that_failed_or_the_first_of_the_chain() -> None:
     sent = "1ms over i-1[0,40) i-2[40,80), fullest 0.30"
-    assert find_servers(make_request("whole", steps=[sent])) == {"i-1"}
-    assert find_servers(make_request("whole", steps=[sent, "900ms lost ['i-2']", "903ms detour over []"])) == {"i-2"}
-    assert find_servers(make_request("own 503 no_chain")) == set()
+    assert find_suspect_servers(make_request("whole", steps=[sent])) == {"i-1"}
+    assert find_suspect_servers(make_request("whole", steps=[sent, "900ms lost ['i-2']", "903ms detour over []"])) == {
+        "i-2"
+    }
+    assert find_suspect_servers(make_request("own 503 no_chain")) == set()
 
 
 def test_plot_shows_kinds_by_second_and_servers(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
