--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize(
-    ("declared", "place"),
+    ("declared", "path"),
     [
         pytest.param({"unknown": []}, "unknown", id="unknown section"),
         pytest.param({"classes": [{"name": "a", "priority": 12}]}, "$.classes[0].priority", id="out of range"),
@@ -42,14 +42,12 @@
         ),
     ],
 )
-def test_fault_names_its_place(
-    tmp_path: Path, declared: object, place: str, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_fault_names_its_path(tmp_path: Path, declared: object, path: str, capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["check", write(tmp_path / "declared.json", declared)]) == Exit.INVALID_INPUT
-    assert place in capsys.readouterr().err
+    assert path in capsys.readouterr().err
 
 
-def test_differences_name_the_fields() -> None:
+def test_differences_name_the_changed_fields() -> None:
     old = Configuration(
         classes=(WorkClass(name=ClassName("a"), priority=1), WorkClass(name=ClassName("b"), priority=1))
     )
@@ -63,7 +61,7 @@
     ]
 
 
-def test_no_node_means_no_answer(tmp_path: Path) -> None:
+def test_unreachable_node_gives_no_answer(tmp_path: Path) -> None:
     declared = write(tmp_path / "declared.json", {})
     assert main(["--nodes", "127.0.0.1:1", "apply", declared]) == Exit.NO_ANSWER
 
--- a/tests/cli/test_language.py
+++ b/tests/cli/test_language.py
@@ -50,7 +50,7 @@
         ("roll out ledgerlm version 2", RollOut(PipelineName("ledgerlm"), "2")),
     ],
 )
-def test_line_means(line: str, statement: Statement) -> None:
+def test_line_parses_to_statement(line: str, statement: Statement) -> None:
     assert parse_statement(line) == statement
 
 
@@ -58,7 +58,7 @@
     ("line", "column"),
     [("show everything", 6), ("drain runner", 7), ("show vms where hall", 20), ("set priority portal 12", 21)],
 )
-def test_fault_points_at_its_place(line: str, column: int) -> None:
+def test_syntax_fault_points_at_column(line: str, column: int) -> None:
     fault = parse_statement(line)
     assert isinstance(fault, SyntaxFault)
     assert fault.column == column
@@ -66,11 +66,11 @@
 
 
 @given(st.text(max_size=40))
-def test_any_text_is_a_statement_or_a_fault(line: str) -> None:
+def test_any_text_parses_without_exception(line: str) -> None:
     parse_statement(line)
 
 
-def test_edits_change_only_what_they_name() -> None:
+def test_edits_change_only_their_entries() -> None:
     server = Server(vm=VmId("a"), address="127.0.0.1:1", data_hall=DataHall("h"))
     classes = (WorkClass(name=ClassName("p"), priority=1), WorkClass(name=ClassName("q"), priority=2))
     configuration = Configuration(servers=(server,), classes=classes)
@@ -84,5 +84,5 @@
 
 
 @pytest.mark.parametrize("edit", [Drain(VmId("x")), Undrain(VmId("x")), SetPriority(ClassName("x"), 1)])
-def test_edit_of_what_is_not_declared_is_refused(edit: Drain | Undrain | SetPriority) -> None:
+def test_edit_of_undeclared_entry_is_refused(edit: Drain | Undrain | SetPriority) -> None:
     assert isinstance(edit_configuration(Configuration(), edit), str)
--- a/tests/cli/test_losses.py
+++ b/tests/cli/test_losses.py
@@ -55,13 +55,13 @@
     assert find_loss(make_request(ending, **changes), LIMITS) is loss
 
 
-def test_cause_names_no_servers_and_no_times() -> None:
+def test_cause_omits_servers_and_times() -> None:
     steps = ["1ms over i-1[0,40) i-2[40,80), fullest 0.30", "900ms lost ['i-2']", "903ms detour over ['i-3'] taken"]
     assert find_cause(make_request("whole", steps=steps)) == "lost ['S']; detour over ['S'] taken"
     assert find_cause(make_request("own 503 no_chain", reason="no_chain")) == "no_chain"
 
 
-def test_lines_are_counted_by_kind_and_cause_whatever_stands_before_them() -> None:
+def test_lines_are_counted_by_kind_and_cause_ignoring_their_prefix() -> None:
     lines = [
         "  24.0 entry-1 " + make_line("own 503 no_chain", 7, reason="no_chain"),
         make_line("own 503 no_chain", 7, reason="no_chain"),
@@ -89,12 +89,12 @@
     assert json.loads(capsys.readouterr().out)[0][0] == "late first event"
 
 
-def test_file_that_is_not_there_is_named(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_missing_file_is_named(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["losses", str(tmp_path / "gone")]) != 0
     assert "gone" in capsys.readouterr().err
 
 
-def test_servers_to_look_at_are_those_that_failed_or_the_first_of_the_chain() -> None:
+def test_suspect_servers_are_failed_ones_or_first_of_chain() -> None:
     sent = "1ms over i-1[0,40) i-2[40,80), fullest 0.30"
     assert find_suspect_servers(make_request("whole", steps=[sent])) == {"i-1"}
     assert find_suspect_servers(make_request("whole", steps=[sent, "900ms lost ['i-2']", "903ms detour over []"])) == {
@@ -117,14 +117,14 @@
     assert "i-2      1 ####" in plot
 
 
-def test_plot_of_nothing_says_so(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_plot_without_losses_says_so(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     log = tmp_path / "node.log"
     log.write_text(make_line("whole"))
     assert main(["losses", "--plot", str(log)]) == 0
     assert "nothing was late" in capsys.readouterr().out
 
 
-def test_plot_without_the_library_says_what_to_install(
+def test_plot_without_plotext_says_what_to_install(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setitem(sys.modules, "plotext", None)
@@ -134,8 +134,8 @@
     assert "vaneturn-cli[plot]" in capsys.readouterr().err
 
 
-def test_long_pauses_tell_what_they_consisted_of() -> None:
-    after_a_loss = {
+def test_long_pauses_are_split_into_parts() -> None:
+    loss_fields = {
         "longest_pause": 0.24,
         "looked": 0.1,
         "found": 0.16,
@@ -143,9 +143,9 @@
         "steps": ["1ms lost ['i-2']"],
     }
     lines = [
-        make_line("whole", 0, **after_a_loss),
+        make_line("whole", 0, **loss_fields),
         make_line("whole", longest_pause=0.3, steps=["1ms over i-1[0,80), fullest 0.30"]),
-        make_line("whole", 0, **{**after_a_loss, "longest_pause": 0.19}),
+        make_line("whole", 0, **{**loss_fields, "longest_pause": 0.19}),
     ]
     table = read_lines(lines, LIMITS)
     assert format_pauses(table) == (
@@ -154,5 +154,5 @@
     )
 
 
-def test_no_long_pause_has_no_parts() -> None:
+def test_no_parts_are_shown_without_long_pauses() -> None:
     assert format_pauses(read_lines([make_line("whole")], LIMITS)) == "0 long pauses after a loss; 0 without a step"
