--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform and the backend servers, each a process of its own."""
+"""Small stand-ins for the platform and the backend servers, each run as a separate process."""
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -39,15 +39,15 @@
 
 
 class Faults(msgspec.Struct, forbid_unknown_fields=True):
-    """What goes wrong now; the counts are used up."""
+    """Faults to inject; each injected fault reduces its count."""
 
-    lose_replies: int = 0  # run the step, send nothing
+    lose_replies: int = 0  # run the step but send no reply
     double_replies: int = 0  # send the reply twice
     late_replies: int = 0  # send the reply after late_seconds
     late_seconds: float = 1.0
-    cross_replies: int = 0  # send the reply under the name of another session
-    wrong_ranges: int = 0  # name other layers in the reply
-    delay: float = 0.0  # seconds added to each reply: a degraded link
+    cross_replies: int = 0  # send the reply with the id of another session
+    wrong_ranges: int = 0  # report other layers in the reply
+    delay: float = 0.0  # seconds added to each reply, as by a degraded link
     refuse_open: bool = False
 
 
@@ -65,7 +65,7 @@
 
 @dataclass
 class Peer:
-    """One link of a node."""
+    """One link from a node."""
 
     socket: WebSocket
     outgoing: list[Reply] = field(default_factory=list)
@@ -366,7 +366,7 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--journal", type=Path)
-    parser.add_argument("--layers", type=int, required=True, help="of the whole model")
+    parser.add_argument("--layers", type=int, required=True, help="layers of the whole model")
     parser.add_argument("--first", type=int, required=True)
     parser.add_argument("--end", type=int, required=True)
     parser.add_argument("--versions", nargs="+", default=["1"])
@@ -376,9 +376,9 @@
     parser.add_argument("--max-queue", type=int, default=4096)
     parser.add_argument("--max-sessions", type=int, default=4096)
     parser.add_argument("--leave-seconds", type=float, default=30.0)
-    parser.add_argument("--weight-store", help="URL; with it the engine begins empty and holds what it is ordered")
+    parser.add_argument("--weight-store", help="URL; if given, the engine starts empty and holds what it is ordered to")
     parser.add_argument("--memory-layers", type=int, default=1 << 20)
-    parser.add_argument("--no-fence", action="store_true", help="take orders with any fence")
+    parser.add_argument("--no-fence", action="store_true", help="accept orders with any fence")
     options = parser.parse_args()
     anyio.run(Engine(options, Journal(options.journal)).run)
 
--- a/tests/standins/keyvalue.py
+++ b/tests/standins/keyvalue.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's key-value service: compare-and-swap, leases, watches, and its faults."""
+"""Stand-in for the platform's key-value service: compare-and-swap, leases, watches and injected faults."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 class Faults(msgspec.Struct, forbid_unknown_fields=True):
-    """What goes wrong now."""
+    """Faults to inject."""
 
-    down: bool = False  # every call gets 503, waiting watches too
-    delay: float = 0.0  # seconds before a call is taken
-    lose_write_answers: int = 0  # so many writes take effect and then get no answer
+    down: bool = False  # every call gets 503, also a waiting watch
+    delay: float = 0.0  # seconds before a call is handled
+    lose_write_answers: int = 0  # number of writes that take effect but whose answer is lost
 
 
 @dataclass
@@ -68,7 +68,7 @@
         self.notify()
 
     def restore(self, key: str, steps: int) -> None:
-        """Go back to an older value of a key, as a restored backup would; the version goes on."""
+        """Restore an older value of a key, as from a backup; the version keeps increasing."""
         older = self._older[key][-steps]
         self._held[key] = Held(older.value, next(self._ids))
         self.notify()
@@ -107,7 +107,7 @@
             after = int(request.query_params["after"])
             with anyio.move_on_after(float(request.query_params["wait"])):
                 while (held := store.find(key)).version == after and not store.faults.down:
-                    with anyio.move_on_after(0.5):  # a lease may lapse meanwhile
+                    with anyio.move_on_after(0.5):  # a lease may expire meanwhile
                         await store.changed.wait()
             if store.faults.down:
                 return Response(status_code=503)
--- a/tests/standins/link.py
+++ b/tests/standins/link.py
@@ -1,4 +1,4 @@
-"""Stand-in for the link of a node: what reaches the node passes one queue, first in first out, at a settable rate."""
+"""Stand-in for the network link of a node: all data to the node pass one FIFO queue at a configurable rate."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 import anyio
 from anyio.abc import SocketStream
 
-PIECE = 16_384  # bytes that pass the link at once
-SHORTEST_SLEEP = 0.001  # seconds; what is due sooner passes at once, and later pieces wait the longer
-NOTED_WAIT = 0.05  # seconds; a link at rest passes a piece in less
+PIECE = 16_384  # bytes sent over the link at once
+SHORTEST_SLEEP = 0.001  # seconds; shorter delays are not slept but added to the delay of later pieces
+NOTED_WAIT = 0.05  # seconds; an idle link passes a piece in less
 
 
 @dataclass
 class _Piece:
-    stream: SocketStream | None  # none for what only takes time
+    stream: SocketStream | None  # None for a piece that only keeps the link busy
     data: bytes = b""
-    held: float = 0.0  # seconds, beside those that the data take
+    held: float = 0.0  # seconds that the link stays busy in addition to the time for the data
     has_passed: anyio.Event | None = None
     put_at: float = field(default_factory=time.monotonic)
 
@@ -26,8 +26,8 @@
 class Link:
     """One queue for all connections of a node.
 
-    :ivar rate: bytes a second; none for no bound.
-    :ivar waits: from when to when pieces waited that did not pass soon.
+    :ivar rate: bytes per second; None for no limit.
+    :ivar waits: start and end of each long wait of a piece in the queue.
     """
 
     def __init__(self, rate: float | None = None) -> None:
@@ -37,22 +37,22 @@
         self._free_at = 0.0
 
     def put(self, stream: SocketStream, data: bytes) -> None:
-        """Queue data for a connection; like a system's buffer, it never makes the sender wait."""
+        """Queue data for a connection; like a socket buffer of the system, it never blocks the sender."""
         for start in range(0, len(data), PIECE):
             self._put.send_nowait(_Piece(stream, data[start : start + PIECE]))
 
     def fill(self, seconds: float) -> None:
-        """Keep the link busy with what belongs to nobody here."""
+        """Keep the link busy, as other traffic would."""
         self._put.send_nowait(_Piece(None, held=seconds))
 
     async def flush(self) -> None:
-        """Return when all that was queued before has passed."""
+        """Return when all data queued before this call have passed."""
         passed = anyio.Event()
         self._put.send_nowait(_Piece(None, has_passed=passed))
         await passed.wait()
 
     async def run(self) -> None:
-        """Carry pieces until cancelled."""
+        """Send queued pieces until cancelled."""
         with self._put, self._pieces:
             async for piece in self._pieces:
                 await self._carry(piece)
@@ -62,13 +62,13 @@
         if now - piece.put_at >= NOTED_WAIT:
             self.waits.append((piece.put_at, now))
         if piece.stream is not None and not await _send(piece.stream, piece.data):
-            return  # what is left for a connection that has ended takes no time
+            return  # data for an ended connection take no time
         await self._hold(piece.held + (len(piece.data) / self.rate if self.rate else 0.0))
         if piece.has_passed is not None:
             piece.has_passed.set()
 
     async def _hold(self, seconds: float) -> None:
-        """Pass nothing else for a while."""
+        """Keep the link busy for some time."""
         now = time.monotonic()
         self._free_at = max(self._free_at, now) + seconds
         if self._free_at - now >= SHORTEST_SLEEP:
@@ -76,7 +76,7 @@
 
 
 async def _send(stream: SocketStream, data: bytes) -> bool:
-    """Send data; false when the connection has ended."""
+    """Send data; return False if the connection has ended."""
     try:
         await stream.send(data)
     except (anyio.BrokenResourceError, anyio.ClosedResourceError):
--- a/tests/standins/model.py
+++ b/tests/standins/model.py
@@ -1,4 +1,4 @@
-"""A model whose answers show every layer that was skipped, doubled, swapped or run for someone else."""
+"""A model whose answers differ if a layer is skipped, run twice, swapped or run for another session."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 HIDDEN_BYTES = 8
 TOKEN_BYTES = 4
 VOCABULARY = 50_000
-END_MODULUS = 512  # one token in so many ends an answer
+END_MODULUS = 512  # on average, one token in this many ends an answer
 
-Chain = tuple[bytes, ...]  # a digest for each layer over all positions so far: the stand-in's KV cache
+Chain = tuple[bytes, ...]  # one digest per layer over all positions so far; stands in for the KV cache
 
 
 @dataclass(frozen=True)
 class Weights:
-    """Which weights run."""
+    """Identifies the weights that run."""
 
     model: str
     version: str
@@ -35,7 +35,7 @@
         self.empty: Chain = tuple(bytes(HIDDEN_BYTES) for _ in self._names)
 
     def run(self, before: Chain, hidden: bytes) -> tuple[Chain, bytes]:
-        """Run one position: the chain after it and the activations it gives."""
+        """Run one position; return the chain after it and its activations."""
         if self._is_first:
             hidden = xxhash.xxh3_64_digest(b"embed" + hidden)
         after = []
@@ -63,7 +63,7 @@
 
 
 def generate(weights: Weights, layers: int, prompt: bytes, seed: int, max_tokens: int) -> list[Sampled]:
-    """Give the answer that every correct run must give."""
+    """Generate the answer that every correct run must produce."""
     whole = Layers(weights, 0, layers)
     chain, hidden = whole.empty, b""
     for index in range(0, len(prompt), TOKEN_BYTES):
--- a/tests/standins/plainservice.py
+++ b/tests/standins/plainservice.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service: it runs each call once and writes down that it did."""
+"""Stand-in for a plain service: runs each call once and records it in its journal."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class Faults(msgspec.Struct, forbid_unknown_fields=True):
-    """What goes wrong now; the counts are used up."""
+    """Faults to inject; each injected fault reduces its count."""
 
     delay: float = 0.0  # seconds before a call runs
-    rest: float = 0.0  # turn calls away, and ask for so many seconds without any
-    lose_replies: int = 0  # run the call, never answer
-    truncate_replies: int = 0  # promise a longer body than is sent, then close
+    rest: float = 0.0  # reject calls, and ask for this many seconds without calls
+    lose_replies: int = 0  # run the call but never answer
+    truncate_replies: int = 0  # announce a longer body than is sent, then close
 
 
 def make_app(journal: Journal, name: str) -> Starlette:
--- a/tests/standins/relay.py
+++ b/tests/standins/relay.py
@@ -1,4 +1,4 @@
-"""Stand-in for a network path: carries TCP connections to one address, and holds every byte up while it is cut."""
+"""Stand-in for a network path: forwards TCP connections to one address, and holds all data while it is cut."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Path:
-    """Whether bytes pass; what was held up is carried on when the cut heals."""
+    """A path that can be cut; data held meanwhile are forwarded when it is healed."""
 
     def __init__(self, target_port: int) -> None:
         self._target_port = target_port
@@ -68,7 +68,7 @@
 
 def main() -> None:
     parser = argparse.ArgumentParser()
-    parser.add_argument("--port", type=int, required=True, help="for cutting and healing")
+    parser.add_argument("--port", type=int, required=True, help="for the control interface (cut, heal)")
     parser.add_argument("--relay-port", type=int, required=True)
     parser.add_argument("--target-port", type=int, required=True)
     options = parser.parse_args()
--- a/tests/standins/serving.py
+++ b/tests/standins/serving.py
@@ -1,4 +1,4 @@
-"""Serving a stand-in's HTTP application and writing its journal."""
+"""Serves a stand-in's HTTP application and writes its journal."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 
 class Journal:
-    """What a stand-in really did, as JSON lines."""
+    """A record of what a stand-in did, as JSON lines."""
 
     def __init__(self, path: Path | None) -> None:
         self._file: IO[bytes] | None = None if path is None else path.open("ab", buffering=0)
 
     def write(self, **entry: object) -> None:
-        """Write one line at once, so that a kill loses nothing."""
+        """Write one line unbuffered, so that nothing is lost if the process is killed."""
         if self._file is not None:
             self._file.write(msgspec.json.encode(entry) + b"\n")
 
 
 def read_journal(path: Path) -> list[dict[str, Any]]:
-    """Read the whole lines of a journal."""
+    """Read the complete lines of a journal."""
     if not path.exists():
         return []
     return [msgspec.json.decode(line) for line in path.read_bytes().splitlines(keepends=True) if line.endswith(b"\n")]
 
 
 async def serve_app(app: Starlette, port: int) -> None:
-    """Serve until the process is ended."""
+    """Serve until the process is stopped."""
     config = Config()
     config.bind = [f"127.0.0.1:{port}"]
     config.accesslog = None
--- a/tests/standins/shelf.py
+++ b/tests/standins/shelf.py
@@ -1,4 +1,4 @@
-"""What a stand-in for a model engine holds, by orders, and its loading from the weight store."""
+"""The parts that a stand-in for a model engine holds by orders, and their loading from the weight store."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Shelf:
-    """The parts that an engine holds, by fenced orders, and their loading from the weight store."""
+    """The parts that an engine holds by fenced orders, and their loading from the weight store."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         return Holdings(self.fence, tuple(self._held), tuple(self._loading), tuple(self._ending))
 
     def take(self, order: Hold) -> bool:
-        """Carry an order out; false when its fence is too old."""
+        """Carry out an order; return False if its fence is too old."""
         if order.fence < self.fence and not self._options.no_fence:
             self._journal.write(event="fenced", fence=order.fence, newest=self.fence)
             return False
@@ -99,7 +99,7 @@
         return sum(part.end - part.first for some in parts for part in some)
 
     def drop_ended(self) -> None:
-        """Drop what no session uses any more."""
+        """Drop the ending parts that no session uses any more."""
         used = self._list_used()
         kept = [part for part in self._ending if any(part.covers(one) for one in used)]
         if kept != self._ending:
--- a/tests/standins/vm.py
+++ b/tests/standins/vm.py
@@ -1,4 +1,4 @@
-"""Stand-in for a VM: runs a module whose connections come from an address of its own, so that callers are known."""
+"""Stand-in for a VM: runs a module and binds its connections to an own address, which identifies the caller."""
 
 from __future__ import annotations
 
--- a/tests/standins/vmlist.py
+++ b/tests/standins/vmlist.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's list of VMs, which tells of a change only after its lag."""
+"""Stand-in for the platform's list of VMs, which shows a change only after a lag."""
 
 from __future__ import annotations
 
--- a/tests/standins/weightstore.py
+++ b/tests/standins/weightstore.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's weight store, which serves so many loads at a time and turns others away."""
+"""Stand-in for the platform's weight store, which serves a limited number of loads at a time and rejects others."""
 
 from __future__ import annotations
 
