--- a/tests/standins/platform/directives.py
+++ b/tests/standins/platform/directives.py
@@ -1,4 +1,4 @@
-"""What servers asked of the nodes, and the requests that reached them, as the servers saw it."""
+"""Records the directives that servers sent to nodes, and the requests that reached the servers."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
     at: float
     server: str
-    node: str  # the address that it came from
+    node: str  # address of the caller
 
 
 class Directive(NamedTuple):
-    """What one answer asked of a node."""
+    """The directives in one answer to a node."""
 
     at: float
     server: str
@@ -28,7 +28,7 @@
 
 @dataclass
 class DirectiveRecord:
-    """All of them, in the order of time."""
+    """All arrivals and directives, in order of time."""
 
     arrivals: list[Arrival] = field(default_factory=list)
     directives: list[Directive] = field(default_factory=list)
--- a/tests/standins/platform/operator.py
+++ b/tests/standins/platform/operator.py
@@ -55,14 +55,14 @@
 
 
 def make_more_routes(count: int, rng: random.Random) -> list[dict[str, Any]]:
-    """Make routes with names that no two of them share, so that they do not pack well."""
+    """Make routes with random names, so that the configuration compresses poorly."""
     route = make_configuration(1)["routes"][3]
     names = [f"{rng.getrandbits(96):024x}" for _ in range(count)]
     return [{**route, "name": name, "path_prefix": f"/{name}/"} for name in names]
 
 
 def configure(store: Store, configuration: dict[str, Any]) -> int:
-    """Put a configuration in force; gives the store's revision."""
+    """Put a configuration in force; return the store's revision."""
     return store.put("op/config", json.dumps(configuration).encode())
 
 
--- a/tests/standins/platform/servers.py
+++ b/tests/standins/platform/servers.py
@@ -35,35 +35,33 @@
 
 @dataclass
 class Run:
-    """One request that a server began to work on."""
+    """One request that a server began to run."""
 
     request: str
     server: str
     headers: dict[str, str]
     body: bytes
-    tokens: list[list[Part]] = field(default_factory=list)  # the chain of each token that was made
-    chains: list[list[Part]] = field(default_factory=list)  # that it was to go over; the last one is in force
+    tokens: list[list[Part]] = field(default_factory=list)  # the chain that produced each token
+    chains: list[list[Part]] = field(default_factory=list)  # chains assigned to the request; the last one is in force
     was_cut: bool = False
     started: float = field(default_factory=time.monotonic)
 
 
 @dataclass
 class Fleet:
-    """All servers of a test, and what they have run."""
+    """All servers of a test, and the requests that they ran."""
 
     store: Store
     tasks: TaskGroup
     layers: int = 8
     token_time: float = 0.01
     answer_tokens: int = 10
-    find_link: FindLink = find_no_link  # of the node that has called
-    deadly: bytes | None = None  # body of a request that ends each server that begins to run it
-    deadly_after: float = 0.03  # seconds from the beginning of its run to the end of the server
-    restart_time: float = 0.5  # seconds from that end to the next start at the same address
-    tells_births: bool = False  # whether servers say when they started
-    ended: list[tuple[float, str]] = field(
-        default_factory=list
-    )  # addresses of servers that ended so, with the steady time
+    find_link: FindLink = find_no_link  # finds the link of the calling node
+    deadly: bytes | None = None  # body of a request that crashes each server that begins to run it
+    deadly_after: float = 0.03  # seconds from the start of that request to the crash
+    restart_time: float = 0.5  # seconds from that crash to the next start at the same address
+    tells_births: bool = False  # whether servers report when they started
+    ended: list[tuple[float, str]] = field(default_factory=list)  # monotonic time and address of each crash
     runs: list[Run] = field(default_factory=list)
     record: DirectiveRecord = field(default_factory=DirectiveRecord)
     servers: dict[str, Server] = field(default_factory=dict)  # by address
@@ -76,7 +74,7 @@
         return server
 
     async def end(self, server: Server) -> None:
-        """Let a server end by itself, and start again after some time; it holds nothing then."""
+        """Crash a server and start it again after some time; it holds no layers then."""
         self.ended.append((time.monotonic(), server.address))
         await server.crash()
         await anyio.sleep(self.restart_time)
@@ -87,7 +85,7 @@
         await self.add(server.address, server.service, server.hall, server.kind)
 
     async def start_again(self, server: Server) -> Server:
-        """Start a server that has ended again, under its id and address; it holds nothing and has begun no order."""
+        """Restart a crashed server under its id and address; it holds no layers and has begun no order."""
         again = Server(self, server.id, server.address, server.service, server.hall, server.kind)
         again.work_time, again.load_time = server.work_time, server.load_time
         self.servers[server.address] = again
@@ -107,22 +105,22 @@
     address: str
     service: str
     hall: str
-    kind: str | None  # of its accelerator; none for a plain service
+    kind: str | None  # of its accelerator; None for a plain service
     state: str = "ready"
     held: tuple[int, int] | None = None
-    is_dark: bool = False  # neither answers nor resets
+    is_dark: bool = False  # neither answers calls nor resets connections
     is_crashed: bool = False
     is_loading: bool = False
     orders: int = 0
     fence: int = 0
-    late_orders: float = 0.0  # seconds for which an order is left unanswered before it is carried out
+    late_orders: float = 0.0  # seconds before an order is carried out; such an order is never answered
     load_time: float = 0.05
     born: int = field(default_factory=lambda: time.time_ns() // 1_000_000)  # Unix milliseconds
-    spoil: Callable[[Exchange, Run], Any] | None = None  # in place of a sound answer
-    work_time: float = 0.01  # of a plain service
-    rate_limit: float | None = None  # requests a second from all nodes, named in its answers
-    rest: float | None = None  # seconds of rest that it asks for as it turns requests away
-    says_leaving: bool = False  # in its answers, whatever the list says
+    spoil: Callable[[Exchange, Run], Any] | None = None  # sends a faulty answer in place of the correct one
+    work_time: float = 0.01  # seconds that a plain service works on a request
+    rate_limit: float | None = None  # requests per second from all nodes, stated in its answers
+    rest: float | None = None  # seconds of rest that it asks for when it rejects requests
+    says_leaving: bool = False  # in its answers, whatever its entry in the store says
     active: dict[str, Run] = field(default_factory=dict)  # the newest run of each request
     _listener: Listener[SocketStream] | None = None
     _open: set[Exchange] = field(default_factory=set)
@@ -132,7 +130,7 @@
         self.announce()
 
     def announce(self) -> None:
-        """Write the entry into the store."""
+        """Write the server's entry to the store."""
         entry: dict[str, Any] = {
             "service": self.service, "addr": self.address, "zone": self.hall, "version": "v1",
             "slots": 8, "state": self.state, "cold_left_ms": 0, "seq": 1,
@@ -146,7 +144,7 @@
         self.fleet.store.put(f"servers/{self.id}", json.dumps(entry).encode())
 
     async def crash(self, *, is_listed: bool = True) -> None:
-        """Reset all connections and listen no more."""
+        """Stop listening and reset all connections."""
         self.is_crashed = True
         if self._listener is not None:
             await self._listener.aclose()
@@ -288,11 +286,12 @@
                 return
             await self._stream(exchange, run)
         finally:
-            if self.active.get(request) is run:  # it may have come anew before this run was found to be left
+            # The request may have arrived again before this run noticed that its client left.
+            if self.active.get(request) is run:
                 del self.active[request]
 
     async def _end_by(self, exchange: Exchange) -> None:
-        """Run a request that ends this server."""
+        """Run a request that crashes this server."""
         await anyio.sleep(self.fleet.deadly_after)
         if not self.is_crashed:
             self.fleet.tasks.start_soon(self.fleet.end, self)
@@ -317,7 +316,7 @@
         tasks.cancel_scope.cancel()
 
     async def _make_token(self, exchange: Exchange, run: Run) -> None:
-        """Make a token over the chain in force; wait while a part of it is lost."""
+        """Produce a token over the chain in force; wait while a server of the chain is lost."""
         await anyio.sleep(self.fleet.token_time)
         while not all(self._is_alive(part) for part in run.chains[-1]):
             if self.is_crashed:
--- a/tests/standins/platform/store.py
+++ b/tests/standins/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store, with its outages."""
+"""The platform's metadata store, with simulated outages."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 from standins.platform.wire import Exchange, FindLink, find_no_link, serve
 
-LONG_BYTES = 16384  # of an answer whose body takes its time
-PARTS = 10  # in which it arrives
+LONG_BYTES = 16384  # answers with longer bodies are sent over body_time
+PARTS = 10  # parts in which such a body is sent
 
 
 class Mode(Enum):
-    """How the store treats calls."""
+    """How the store responds to calls."""
 
     SOUND = "sound"
     BUSY = "busy"  # 503, nothing is done
     RESET = "reset"
     SILENT = "silent"
-    LOSES_ANSWERS = "loses answers"  # writes are done and not answered
+    LOSES_ANSWERS = "loses answers"  # writes take effect but are not answered
 
 
 @dataclass
@@ -50,20 +50,20 @@
     """All state in memory; the operator and the servers write through put and remove."""
 
     mode: Mode = Mode.SOUND
-    treats: Callable[[Exchange], Mode | None] = lambda _: None  # a mode for single calls
+    treats: Callable[[Exchange], Mode | None] = lambda _: None  # a mode for a single call, if any
     items: dict[str, Item] = field(default_factory=dict)
     revision: int = 1
     events: list[dict[str, Any]] = field(default_factory=list)
-    oldest: int = 0  # revision up to which history is gone
+    oldest: int = 0  # revision up to which the history is deleted
     is_cut: bool = False
-    leases: dict[int, tuple[float, float]] = field(default_factory=dict)  # id: end, time
-    body_time: float = 0.0  # seconds for which the body of a long answer arrives, as over a slow link
+    leases: dict[int, tuple[float, float]] = field(default_factory=dict)  # id: expiry, time to live; seconds
+    body_time: float = 0.0  # seconds over which a long body is sent, as on a slow link
     calls: list[tuple[str, str]] = field(default_factory=list)
     _numbers: itertools.count[int] = field(default_factory=lambda: itertools.count(100))
     _changed: anyio.Event = field(default_factory=anyio.Event)
 
     def set_mode(self, mode: Mode) -> None:
-        """Begin or end an outage; watches that wait are cut."""
+        """Start or end an outage; an outage ends waiting watches."""
         self.mode = mode
         self.is_cut = mode is not Mode.SOUND
         self._wake()
@@ -73,7 +73,7 @@
         tasks.start_soon(self._expire)
 
     async def listen(self, address: str, tasks: TaskGroup, find_link: FindLink = find_no_link) -> None:
-        """Take calls at one more address, so that a test can tell callers apart."""
+        """Accept calls at an additional address, so that a test can tell callers apart."""
         await serve(address, self._answer, tasks, find_link)
 
     def put(self, key: str, value: bytes, lease: int = 0) -> int:
@@ -89,7 +89,7 @@
             self._note({"key": key, "revision": self.revision, "gone": True})
 
     def compact(self) -> None:
-        """Forget the history; watches that wait are cut."""
+        """Delete the history; this ends waiting watches."""
         self.oldest = self.revision
         self.events.clear()
         self._wake()
@@ -128,7 +128,7 @@
         if mode is Mode.SILENT:
             await exchange.watch_client()
             await exchange.close()
-        if self.mode in {Mode.BUSY, Mode.RESET, Mode.SILENT}:  # a watch that waited when the trouble began
+        if self.mode in {Mode.BUSY, Mode.RESET, Mode.SILENT}:  # a watch that was waiting when the outage began
             await exchange.reset()
         loses = mode is Mode.LOSES_ANSWERS and call.method != "GET"
         status, value = await self._handle(exchange)
@@ -190,7 +190,7 @@
                 ]
                 if events:
                     return 200, {"events": events, "at": self.revision}
-                at = max(at, self.revision)  # not what comes in the turn in which the wait is over
+                at = max(at, self.revision)  # excludes changes made in the event loop turn in which the wait ends
                 await self._changed.wait()
         return 200, {"events": [], "at": at}
 
--- a/tests/standins/platform/wire.py
+++ b/tests/standins/platform/wire.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server that can also misbehave."""
+"""A small HTTP/1.1 server that can also inject connection faults."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ConnectionEndedError(Exception):
-    """The other side, or a fault of the stand-in, has ended the connection."""
+    """The peer, or an injected fault of the stand-in, ended the connection."""
 
 
 @dataclass
@@ -38,17 +38,17 @@
 
 
 class Exchange:
-    """One call and the means to answer it, in good ways and bad ones."""
+    """One call, with methods to answer it correctly or with faults."""
 
     def __init__(self, stream: SocketStream, protocol: h11.Connection, call: Call, link: Link | None) -> None:
         self._stream = stream
-        self._link = link  # of the caller
+        self._link = link  # of the caller; None if answers pass no link
         self._protocol = protocol
         self.call = call
 
     @property
     def caller(self) -> str:
-        """Give the IP number that the call came from."""
+        """Return the IP address of the caller."""
         return str(self._stream.extra(SocketAttribute.remote_address)[0])  # noqa: S610 # no query
 
     async def reply(self, status: int, headers: dict[str, str] | None = None, body: bytes = b"") -> None:
@@ -84,7 +84,7 @@
         raise ConnectionEndedError
 
     async def watch_client(self) -> None:
-        """Return when the other side has closed the connection."""
+        """Return when the client has closed the connection."""
         try:
             while True:
                 await self._stream.receive()
@@ -106,7 +106,7 @@
 
 
 def find_no_link(_stream: SocketStream) -> None:
-    """Find that the caller has no link of its own."""
+    """Find no link: the caller has none of its own."""
 
 
 async def serve(
@@ -114,7 +114,7 @@
 ) -> anyio.abc.Listener[SocketStream]:
     """Listen on IP:PORT; each connection is a task of its own.
 
-    :param find_link: finds the link that answers to a caller pass.
+    :param find_link: finds the link over which answers to a caller are sent.
     """
     host, _, port = address.rpartition(":")
     listener = await anyio.create_tcp_listener(local_host=host, local_port=int(port))
@@ -127,7 +127,7 @@
                 if link is not None:
                     await link.flush()
             except* (ConnectionEndedError, h11.ProtocolError, anyio.BrokenResourceError, anyio.ClosedResourceError):
-                pass  # a connection that ends is nothing to report
+                pass  # an ended connection is not an error
 
     async def accept() -> None:
         try:
