--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -84,7 +84,7 @@
         self.leaving = False
         self.peers: list[Peer] = []
         self.caches: OrderedDict[str, SessionCache] = OrderedDict()
-        self.shelf = Shelf(options, journal, self._list_used, self._tell_holdings)
+        self.shelf = Shelf(options, journal, self._list_used, self._report_holdings)
         self._refused: dict[str, Refusal] = {}  # sessions whose opening was refused
         self._queue: list[tuple[int, int, Peer, Step]] = []
         self._order = itertools.count()
@@ -146,7 +146,7 @@
     def _list_used(self) -> list[Part]:
         return [name_part(cache.opened) for cache in self.caches.values()]
 
-    def _tell_holdings(self) -> None:
+    def _report_holdings(self) -> None:
         for peer in self.peers:
             peer.send(self.shelf.describe())
 
--- a/tests/standins/link.py
+++ b/tests/standins/link.py
@@ -9,9 +9,9 @@
 import anyio
 from anyio.abc import SocketStream
 
-PIECE = 16_384  # bytes sent over the link at once
-SHORTEST_SLEEP = 0.001  # seconds; shorter delays are not slept but added to the delay of later pieces
-NOTED_WAIT = 0.05  # seconds; an idle link passes a piece in less
+CHUNK_BYTES = 16_384  # bytes sent over the link at once
+MIN_SLEEP_S = 0.001  # shorter delays are not slept but added to the delay of later pieces
+RECORDED_WAIT_S = 0.05  # an idle link passes a piece in less
 
 
 @dataclass
@@ -20,7 +20,7 @@
     data: bytes = b""
     held: float = 0.0  # seconds that the link stays busy in addition to the time for the data
     has_passed: anyio.Event | None = None
-    put_at: float = field(default_factory=time.monotonic)
+    queued_at: float = field(default_factory=time.monotonic)
 
 
 class Link:
@@ -33,34 +33,34 @@
     def __init__(self, rate: float | None = None) -> None:
         self.rate = rate
         self.waits: list[tuple[float, float]] = []
-        self._put, self._pieces = anyio.create_memory_object_stream[_Piece](math.inf)
+        self._sender, self._pieces = anyio.create_memory_object_stream[_Piece](math.inf)
         self._free_at = 0.0
 
     def put(self, stream: SocketStream, data: bytes) -> None:
         """Queue data for a connection; like a socket buffer of the system, it never blocks the sender."""
-        for start in range(0, len(data), PIECE):
-            self._put.send_nowait(_Piece(stream, data[start : start + PIECE]))
+        for start in range(0, len(data), CHUNK_BYTES):
+            self._sender.send_nowait(_Piece(stream, data[start : start + CHUNK_BYTES]))
 
     def fill(self, seconds: float) -> None:
         """Keep the link busy, as other traffic would."""
-        self._put.send_nowait(_Piece(None, held=seconds))
+        self._sender.send_nowait(_Piece(None, held=seconds))
 
     async def flush(self) -> None:
         """Return when all data queued before this call have passed."""
         passed = anyio.Event()
-        self._put.send_nowait(_Piece(None, has_passed=passed))
+        self._sender.send_nowait(_Piece(None, has_passed=passed))
         await passed.wait()
 
     async def run(self) -> None:
         """Send queued pieces until cancelled."""
-        with self._put, self._pieces:
+        with self._sender, self._pieces:
             async for piece in self._pieces:
-                await self._carry(piece)
+                await self._transmit(piece)
 
-    async def _carry(self, piece: _Piece) -> None:
+    async def _transmit(self, piece: _Piece) -> None:
         now = time.monotonic()
-        if now - piece.put_at >= NOTED_WAIT:
-            self.waits.append((piece.put_at, now))
+        if now - piece.queued_at >= RECORDED_WAIT_S:
+            self.waits.append((piece.queued_at, now))
         if piece.stream is not None and not await _send(piece.stream, piece.data):
             return  # data for an ended connection take no time
         await self._hold(piece.held + (len(piece.data) / self.rate if self.rate else 0.0))
@@ -71,7 +71,7 @@
         """Keep the link busy for some time."""
         now = time.monotonic()
         self._free_at = max(self._free_at, now) + seconds
-        if self._free_at - now >= SHORTEST_SLEEP:
+        if self._free_at - now >= MIN_SLEEP_S:
             await anyio.sleep(self._free_at - now)
 
 
--- a/tests/standins/platform/servers.py
+++ b/tests/standins/platform/servers.py
@@ -65,10 +65,10 @@
     runs: list[Run] = field(default_factory=list)
     record: DirectiveRecord = field(default_factory=DirectiveRecord)
     servers: dict[str, Server] = field(default_factory=dict)  # by address
-    _numbers: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
+    _server_numbers: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
 
     async def add(self, address: str, service: str, hall: str, kind: str | None) -> Server:
-        server = Server(self, f"i-{next(self._numbers):04x}", address, service, hall, kind)
+        server = Server(self, f"i-{next(self._server_numbers):04x}", address, service, hall, kind)
         self.servers[address] = server
         await server.start()
         return server
@@ -86,11 +86,11 @@
 
     async def start_again(self, server: Server) -> Server:
         """Restart a crashed server under its id and address; it holds no layers and has begun no order."""
-        again = Server(self, server.id, server.address, server.service, server.hall, server.kind)
-        again.work_time, again.load_time = server.work_time, server.load_time
-        self.servers[server.address] = again
-        await again.start()
-        return again
+        restarted = Server(self, server.id, server.address, server.service, server.hall, server.kind)
+        restarted.work_time, restarted.load_time = server.work_time, server.load_time
+        self.servers[server.address] = restarted
+        await restarted.start()
+        return restarted
 
     def find_runs(self, request: str) -> list[Run]:
         return [run for run in self.runs if run.request == request]
@@ -192,8 +192,8 @@
             if lost is not None:
                 stalled.append({"id": request, "addr": lost.address})
         born = {"born": self.born} if self.fleet.tells_births else {}
-        told = {"seq": self.orders, "utilization": self.is_loading, "layers": layers, "stalled": stalled, "pace": 1.0}
-        return {**told, **born}
+        report = {"seq": self.orders, "utilization": self.is_loading, "layers": layers, "stalled": stalled, "pace": 1.0}
+        return {**report, **born}
 
     async def _take_order(self, exchange: Exchange, order: dict[str, Any]) -> None:
         if order.get("fence", self.fence) < self.fence:
@@ -203,7 +203,7 @@
             await self._change_chain(exchange, order)
             return
         if self.late_orders:
-            self.fleet.tasks.start_soon(self._place_late, order)
+            self.fleet.tasks.start_soon(self._place_after_delay, order)
             await exchange.watch_client()
             await exchange.close()
         if order.get("expected_rev", self.orders) != self.orders:
@@ -212,7 +212,7 @@
         await self._place(order)
         await exchange.reply(202)
 
-    async def _place_late(self, order: dict[str, Any]) -> None:
+    async def _place_after_delay(self, order: dict[str, Any]) -> None:
         await anyio.sleep(self.late_orders)
         if order.get("expected_rev", self.orders) == self.orders:
             await self._place(order)
@@ -252,7 +252,7 @@
         run = Run(call.headers["x-request-id"], self.id, call.headers, call.body)
         self.fleet.runs.append(run)
         if call.body == self.fleet.deadly:
-            await self._end_by(exchange)
+            await self._crash_on(exchange)
         await anyio.sleep(self.work_time)
         if self.spoil is not None:
             await self.spoil(exchange, run)
@@ -280,7 +280,7 @@
         try:
             if call.body == self.fleet.deadly:
                 await exchange.begin(200, {**self._sign(exchange, run), "Content-Type": "text/event-stream"})
-                await self._end_by(exchange)
+                await self._crash_on(exchange)
             if self.spoil is not None:
                 await self.spoil(exchange, run)
                 return
@@ -290,7 +290,7 @@
             if self.active.get(request) is run:
                 del self.active[request]
 
-    async def _end_by(self, exchange: Exchange) -> None:
+    async def _crash_on(self, exchange: Exchange) -> None:
         """Run a request that crashes this server."""
         await anyio.sleep(self.fleet.deadly_after)
         if not self.is_crashed:
@@ -301,7 +301,7 @@
     async def _stream(self, exchange: Exchange, run: Run) -> None:
         start = int(run.headers.get("last-event-id", "0"))
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._cut_when_left, exchange, run, tasks)
+            tasks.start_soon(self._stop_when_client_leaves, exchange, run, tasks)
             for number in range(start + 1, self.fleet.answer_tokens + 1):
                 await self._make_token(exchange, run)
                 if number == start + 1:
@@ -310,7 +310,7 @@
             await exchange.end()
             tasks.cancel_scope.cancel()
 
-    async def _cut_when_left(self, exchange: Exchange, run: Run, tasks: TaskGroup) -> None:
+    async def _stop_when_client_leaves(self, exchange: Exchange, run: Run, tasks: TaskGroup) -> None:
         await exchange.watch_client()
         run.was_cut = True
         tasks.cancel_scope.cancel()
--- a/tests/standins/platform/store.py
+++ b/tests/standins/platform/store.py
@@ -17,7 +17,7 @@
 from standins.platform.wire import Exchange, FindLink, find_no_link, serve
 
 LONG_BYTES = 16384  # answers with longer bodies are sent over body_time
-PARTS = 10  # parts in which such a body is sent
+SLOW_BODY_PARTS = 10  # parts in which such a body is sent
 
 
 class Mode(Enum):
@@ -55,17 +55,17 @@
     revision: int = 1
     events: list[dict[str, Any]] = field(default_factory=list)
     oldest: int = 0  # revision up to which the history is deleted
-    is_cut: bool = False
+    is_down: bool = False
     leases: dict[int, tuple[float, float]] = field(default_factory=dict)  # id: expiry, time to live; seconds
     body_time: float = 0.0  # seconds over which a long body is sent, as on a slow link
     calls: list[tuple[str, str]] = field(default_factory=list)
-    _numbers: itertools.count[int] = field(default_factory=lambda: itertools.count(100))
+    _lease_ids: itertools.count[int] = field(default_factory=lambda: itertools.count(100))
     _changed: anyio.Event = field(default_factory=anyio.Event)
 
     def set_mode(self, mode: Mode) -> None:
         """Start or end an outage; an outage ends waiting watches."""
         self.mode = mode
-        self.is_cut = mode is not Mode.SOUND
+        self.is_down = mode is not Mode.SOUND
         self._wake()
 
     async def start(self, address: str, tasks: TaskGroup) -> None:
@@ -80,13 +80,13 @@
         self.revision += 1
         made = self.items[key].made if key in self.items else self.revision
         self.items[key] = item = Item(key, value, self.revision, made, lease)
-        self._note(item.encode())
+        self._record_event(item.encode())
         return self.revision
 
     def remove(self, key: str) -> None:
         if self.items.pop(key, None) is not None:
             self.revision += 1
-            self._note({"key": key, "revision": self.revision, "gone": True})
+            self._record_event({"key": key, "revision": self.revision, "gone": True})
 
     def compact(self) -> None:
         """Delete the history; this ends waiting watches."""
@@ -94,7 +94,7 @@
         self.events.clear()
         self._wake()
 
-    def _note(self, event: dict[str, Any]) -> None:
+    def _record_event(self, event: dict[str, Any]) -> None:
         self.events.append(event)
         self._wake()
 
@@ -108,7 +108,7 @@
             now = time.monotonic()
             if self.mode is not Mode.SOUND:
                 continue
-            for lease in [one for one, (end, _) in self.leases.items() if end < now]:
+            for lease in [lease_id for lease_id, (end, _) in self.leases.items() if end < now]:
                 self._end(lease)
 
     def _end(self, lease: int) -> None:
@@ -130,16 +130,16 @@
             await exchange.close()
         if self.mode in {Mode.BUSY, Mode.RESET, Mode.SILENT}:  # a watch that was waiting when the outage began
             await exchange.reset()
-        loses = mode is Mode.LOSES_ANSWERS and call.method != "GET"
+        loses_answer = mode is Mode.LOSES_ANSWERS and call.method != "GET"
         status, value = await self._handle(exchange)
-        if loses:
+        if loses_answer:
             await exchange.watch_client()
             await exchange.close()
         await self._reply(exchange, status, json.dumps(value).encode())
 
     async def _reply(self, exchange: Exchange, status: int, body: bytes) -> None:
         await exchange.begin(status, {"Content-Type": "application/json", "Content-Length": str(len(body))})
-        parts = PARTS if len(body) > LONG_BYTES and self.body_time else 1
+        parts = SLOW_BODY_PARTS if len(body) > LONG_BYTES and self.body_time else 1
         size = -(-len(body) // parts)
         for first in range(0, len(body), size):
             await exchange.send(body[first : first + size])
@@ -181,7 +181,7 @@
             while True:
                 if since < self.oldest:
                     return 410, {}
-                if self.is_cut:
+                if self.is_down:
                     return 503, {}
                 events = [
                     event
@@ -208,7 +208,7 @@
         return 200, {"revision": self.revision}
 
     def _grant(self, held: float) -> tuple[int, Any]:
-        lease = next(self._numbers)
+        lease = next(self._lease_ids)
         self.leases[lease] = (time.monotonic() + held, held)
         return 200, {"lease": lease, "ttl_ms": held * 1000}
 
--- a/tests/standins/shelf.py
+++ b/tests/standins/shelf.py
@@ -25,13 +25,13 @@
         options: argparse.Namespace,
         journal: Journal,
         list_used: Callable[[], Sequence[Part]],
-        tell: Callable[[], None],
+        report: Callable[[], None],
     ) -> None:
         self._options = options
         self._journal = journal
         self._list_used = list_used
-        self._tell = tell
-        self._held: list[Part] = []
+        self._report = report
+        self._held_parts: list[Part] = []
         self._loading: dict[Part, anyio.CancelScope] = {}
         self._ending: list[Part] = []
         self._freed = anyio.Event()
@@ -42,10 +42,10 @@
             await anyio.sleep_forever()
 
     def covers(self, part: Part) -> bool:
-        return any(held.covers(part) for held in self._held)
+        return any(held.covers(part) for held in self._held_parts)
 
     def describe(self) -> Holdings:
-        return Holdings(self.fence, tuple(self._held), tuple(self._loading), tuple(self._ending))
+        return Holdings(self.fence, tuple(self._held_parts), tuple(self._loading), tuple(self._ending))
 
     def take(self, order: Hold) -> bool:
         """Carry out an order; return False if its fence is too old."""
@@ -54,36 +54,36 @@
             return False
         self.fence = max(self.fence, order.fence)
         self._journal.write(event="hold", fence=order.fence, parts=[str(part) for part in order.parts])
-        self._ending += [part for part in self._held if part not in order.parts]
-        self._held = [part for part in self._held if part in order.parts]
+        self._ending += [part for part in self._held_parts if part not in order.parts]
+        self._held_parts = [part for part in self._held_parts if part in order.parts]
         for part in [part for part in self._loading if part not in order.parts]:
             self._loading.pop(part).cancel()
         for part in order.parts:
-            self._want(part)
+            self._hold_or_load(part)
         self.drop_ended()
-        self._tell()
+        self._report()
         return True
 
-    def _want(self, part: Part) -> None:
-        if part in self._held or part in self._loading:
+    def _hold_or_load(self, part: Part) -> None:
+        if part in self._held_parts or part in self._loading:
             return
         if part in self._ending:
             self._ending.remove(part)
-            self._held.append(part)
+            self._held_parts.append(part)
             return
         self._loading[part] = anyio.CancelScope()
         self._tasks.start_soon(self._load, part, self._loading[part])
 
     async def _load(self, part: Part, scope: anyio.CancelScope) -> None:
         with scope:
-            while self._count_layers(self._held, self._ending, [part]) > self._options.memory_layers:
+            while self._count_layers(self._held_parts, self._ending, [part]) > self._options.memory_layers:
                 await self._freed.wait()
             await self._fetch(part)
             if self._loading.get(part) is scope:
                 del self._loading[part]
-                self._held.append(part)
+                self._held_parts.append(part)
                 self._journal.write(event="loaded", part=str(part))
-                self._tell()
+                self._report()
 
     async def _fetch(self, part: Part) -> None:
         url = f"{self._options.weight_store}/v1/weights/{part.model}/{part.version}/{part.first}/{part.end}"
@@ -96,14 +96,14 @@
 
     @staticmethod
     def _count_layers(*parts: list[Part]) -> int:
-        return sum(part.end - part.first for some in parts for part in some)
+        return sum(part.end - part.first for part_list in parts for part in part_list)
 
     def drop_ended(self) -> None:
         """Drop the ending parts that no session uses any more."""
         used = self._list_used()
-        kept = [part for part in self._ending if any(part.covers(one) for one in used)]
+        kept = [part for part in self._ending if any(part.covers(used_part) for used_part in used)]
         if kept != self._ending:
             self._ending = kept
             self._freed.set()
             self._freed = anyio.Event()
-            self._tell()
+            self._report()
