--- a/tests/node/traffic/test_suspension.py
+++ b/tests/node/traffic/test_suspension.py
@@ -119,7 +119,7 @@
             await exchange.watch_client()
 
         for server in servers:
-            server.spoil = wait
+            server.fault_handler = wait
         answers = []
         async with anyio.create_task_group() as tasks:
 
--- a/tests/rig/deadlysoak.py
+++ b/tests/rig/deadlysoak.py
@@ -20,8 +20,8 @@
     """The same clients and faults, and a client with a deadly request."""
 
     def list_faults(self) -> list[Callable[[random.Random], Awaitable[None]]]:
-        self.traffic.fleet.deadly = DEADLY
-        self.traffic.fleet.tells_births = True
+        self.traffic.fleet.crash_body = DEADLY
+        self.traffic.fleet.reports_births = True
         return [*super().list_faults(), self._send_deadly, self._start_again]
 
     async def _send_deadly(self, rng: random.Random) -> None:
@@ -46,7 +46,7 @@
         self.findings.counts["fault: server starts again"] += 1
         await self._crash(server)
         await anyio.sleep(rng.uniform(0.2, 2.0))
-        await fleet.start_again(server)
+        await fleet.restart(server)
 
     def _check_cuts(self) -> None:
         lost_at = self.findings.by_whom.lost_at
--- a/tests/rig/soakfaults.py
+++ b/tests/rig/soakfaults.py
@@ -57,13 +57,13 @@
         began = time.monotonic()
         for server in servers:
             self._silent[server.address] += 1
-            server.is_dark = True
+            server.is_unresponsive = True
         try:
             yield
         finally:
             for server in servers:
                 self._silent[server.address] -= 1
-                server.is_dark = self._silent[server.address] > 0
+                server.is_unresponsive = self._silent[server.address] > 0
                 self.findings.by_whom.silences[server.address].append(Span(began, time.monotonic()))
 
     async def _crash(self, server: Server, *, is_listed: bool = True) -> None:
@@ -116,7 +116,7 @@
                 return
             store.set_mode(mode)
             await anyio.sleep(rng.uniform(0.3, 5.0))
-            store.set_mode(Mode.SOUND)
+            store.set_mode(Mode.HEALTHY)
 
     async def _fail_server(self, rng: random.Random) -> None:
         await anyio.sleep(rng.uniform(0.5, 3.0))
@@ -152,7 +152,7 @@
     def _list_staying(self) -> list[Server]:
         """List the servers that have not ended and do not leave: each of them ends once."""
         servers = self.traffic.fleet.servers.values()
-        return [one for one in servers if one.state == "ready" and not (one.is_crashed or one.says_leaving)]
+        return [one for one in servers if one.state == "ready" and not (one.is_crashed or one.announces_leaving)]
 
     def _pick_server(self, rng: random.Random) -> Server:
         return rng.choice(self._list_staying())
@@ -182,7 +182,7 @@
         server = self._pick_server(rng)
         self.findings.counts["fault: server says that it leaves"] += 1
         await self.traffic.fleet.add(f"127.0.0.1:{find_port()}", server.service, server.hall, server.kind)
-        server.says_leaving = True
+        server.announces_leaving = True
         await anyio.sleep(rng.uniform(1.0, 4.0))
         await self._leave(server, has_word=rng.random() < LEAVES_WITH_WORD)
 
@@ -206,7 +206,7 @@
     async def _change(self, rng: random.Random) -> None:
         """Add a route, give a key away, and take another one away."""
         await anyio.sleep(rng.uniform(0.3, 3.0))
-        if self.traffic.fleet.store.mode is not Mode.SOUND:
+        if self.traffic.fleet.store.mode is not Mode.HEALTHY:
             return
         taken = [key for key, at in self._keys.items() if at == NEVER and key != KEY]
         if taken:
@@ -233,7 +233,7 @@
         self._more = make_more_routes(rng.choice([0, 500, 2000]), rng)
         self.findings.counts[f"fault: changes in a row of {len(self._more)} routes"] += 1
         for _ in range(rng.randint(1, 6)):
-            if self.traffic.fleet.store.mode is Mode.SOUND:
+            if self.traffic.fleet.store.mode is Mode.HEALTHY:
                 self._write()
             await anyio.sleep(rng.choice([0.05, 0.3, 1.0]))
         if rng.random() < LONG_AGAIN:
--- a/tests/rig/trafficdemo.py
+++ b/tests/rig/trafficdemo.py
@@ -20,7 +20,7 @@
     await wait_for(lambda: any(run.tokens for run in traffic.fleet.runs))
     part = traffic.fleet.runs[0].tokens[0][-1]
     print(f"server at {part.address} falls silent, it ran layers [{part.first},{part.end})")
-    traffic.fleet.servers[part.address].is_dark = True
+    traffic.fleet.servers[part.address].is_unresponsive = True
 
 
 async def run_demo() -> bool:
--- a/tests/standins/platform/servers.py
+++ b/tests/standins/platform/servers.py
@@ -57,10 +57,10 @@
     token_time: float = 0.01
     answer_tokens: int = 10
     find_link: FindLink = find_no_link  # finds the link of the calling node
-    deadly: bytes | None = None  # body of a request that crashes each server that begins to run it
-    deadly_after: float = 0.03  # seconds from the start of that request to the crash
+    crash_body: bytes | None = None  # body of a request that crashes each server that begins to run it
+    crash_delay: float = 0.03  # seconds from the start of that request to the crash
     restart_time: float = 0.5  # seconds from that crash to the next start at the same address
-    tells_births: bool = False  # whether servers report when they started
+    reports_births: bool = False  # whether servers report when they started
     ended: list[tuple[float, str]] = field(default_factory=list)  # monotonic time and address of each crash
     runs: list[Run] = field(default_factory=list)
     record: DirectiveRecord = field(default_factory=DirectiveRecord)
@@ -78,13 +78,13 @@
         self.ended.append((time.monotonic(), server.address))
         await server.crash()
         await anyio.sleep(self.restart_time)
-        if self.tells_births:
-            await self.start_again(server)
+        if self.reports_births:
+            await self.restart(server)
             return
         self.store.remove(f"servers/{server.id}")
         await self.add(server.address, server.service, server.hall, server.kind)
 
-    async def start_again(self, server: Server) -> Server:
+    async def restart(self, server: Server) -> Server:
         """Restart a crashed server under its id and address; it holds no layers and has begun no order."""
         restarted = Server(self, server.id, server.address, server.service, server.hall, server.kind)
         restarted.work_time, restarted.load_time = server.work_time, server.load_time
@@ -108,19 +108,19 @@
     kind: str | None  # of its accelerator; None for a plain service
     state: str = "ready"
     held: tuple[int, int] | None = None
-    is_dark: bool = False  # neither answers calls nor resets connections
+    is_unresponsive: bool = False  # neither answers calls nor resets connections
     is_crashed: bool = False
     is_loading: bool = False
     orders: int = 0
     fence: int = 0
-    late_orders: float = 0.0  # seconds before an order is carried out; such an order is never answered
+    order_delay: float = 0.0  # seconds before an order is carried out; such an order is never answered
     load_time: float = 0.05
     born: int = field(default_factory=lambda: time.time_ns() // 1_000_000)  # Unix milliseconds
-    spoil: Callable[[Exchange, Run], Any] | None = None  # sends a faulty answer in place of the correct one
+    fault_handler: Callable[[Exchange, Run], Any] | None = None  # sends a faulty answer in place of the correct one
     work_time: float = 0.01  # seconds that a plain service works on a request
     rate_limit: float | None = None  # requests per second from all nodes, stated in its answers
     rest: float | None = None  # seconds of rest that it asks for when it rejects requests
-    says_leaving: bool = False  # in its answers, whatever its entry in the store says
+    announces_leaving: bool = False  # in its answers, whatever its entry in the store says
     active: dict[str, Run] = field(default_factory=dict)  # the newest run of each request
     _listener: Listener[SocketStream] | None = None
     _open: set[Exchange] = field(default_factory=set)
@@ -139,7 +139,7 @@
             layers = [{"from": self.held[0], "target_version": self.held[1], "version": 1}] if self.held else []
             entry |= {"route_type": self.kind, "models": [{"name": "m", "version": 1, "adapters": []}] * bool(layers)}
             entry["layers"] = layers
-        if self.fleet.tells_births:
+        if self.fleet.reports_births:
             entry["born"] = self.born
         self.fleet.store.put(f"servers/{self.id}", json.dumps(entry).encode())
 
@@ -152,7 +152,7 @@
             self.fleet.store.remove(f"servers/{self.id}")
 
     async def _answer(self, exchange: Exchange) -> None:
-        if self.is_dark:
+        if self.is_unresponsive:
             await exchange.watch_client()
             await exchange.close()
         if self.is_crashed:
@@ -182,7 +182,7 @@
 
     def _list_directives(self) -> dict[str, str]:
         directives = {"Server-Limit": str(self.rate_limit)} if self.rate_limit is not None else {}
-        return directives | ({"Server-Leaving": "1"} if self.says_leaving else {})
+        return directives | ({"Server-Leaving": "1"} if self.announces_leaving else {})
 
     def _report(self) -> dict[str, Any]:
         layers = [{"from": self.held[0], "target_version": self.held[1], "version": 1}] if self.held else []
@@ -191,7 +191,7 @@
             lost = next((part for part in run.chains[-1] if not self._is_alive(part)), None)
             if lost is not None:
                 stalled.append({"id": request, "addr": lost.address})
-        born = {"born": self.born} if self.fleet.tells_births else {}
+        born = {"born": self.born} if self.fleet.reports_births else {}
         report = {"seq": self.orders, "utilization": self.is_loading, "layers": layers, "stalled": stalled, "pace": 1.0}
         return {**report, **born}
 
@@ -202,7 +202,7 @@
         if order["op"] == "repath":
             await self._change_chain(exchange, order)
             return
-        if self.late_orders:
+        if self.order_delay:
             self.fleet.tasks.start_soon(self._place_after_delay, order)
             await exchange.watch_client()
             await exchange.close()
@@ -213,7 +213,7 @@
         await exchange.reply(202)
 
     async def _place_after_delay(self, order: dict[str, Any]) -> None:
-        await anyio.sleep(self.late_orders)
+        await anyio.sleep(self.order_delay)
         if order.get("expected_rev", self.orders) == self.orders:
             await self._place(order)
 
@@ -243,7 +243,7 @@
 
     def _is_alive(self, part: Part) -> bool:
         server = self.fleet.servers.get(part.address)
-        if server is None or server.is_dark or server.is_crashed or server.held is None:
+        if server is None or server.is_unresponsive or server.is_crashed or server.held is None:
             return False
         return server.held[0] <= part.first and part.end <= server.held[1]
 
@@ -251,11 +251,11 @@
         call = exchange.call
         run = Run(call.headers["x-request-id"], self.id, call.headers, call.body)
         self.fleet.runs.append(run)
-        if call.body == self.fleet.deadly:
+        if call.body == self.fleet.crash_body:
             await self._crash_on(exchange)
         await anyio.sleep(self.work_time)
-        if self.spoil is not None:
-            await self.spoil(exchange, run)
+        if self.fault_handler is not None:
+            await self.fault_handler(exchange, run)
             return
         await exchange.reply(200, self._sign(exchange, run), b"answer to " + run.request.encode())
 
@@ -278,11 +278,11 @@
         self.fleet.runs.append(run)
         self.active[request] = run
         try:
-            if call.body == self.fleet.deadly:
+            if call.body == self.fleet.crash_body:
                 await exchange.begin(200, {**self._sign(exchange, run), "Content-Type": "text/event-stream"})
                 await self._crash_on(exchange)
-            if self.spoil is not None:
-                await self.spoil(exchange, run)
+            if self.fault_handler is not None:
+                await self.fault_handler(exchange, run)
                 return
             await self._stream(exchange, run)
         finally:
@@ -292,7 +292,7 @@
 
     async def _crash_on(self, exchange: Exchange) -> None:
         """Run a request that crashes this server."""
-        await anyio.sleep(self.fleet.deadly_after)
+        await anyio.sleep(self.fleet.crash_delay)
         if not self.is_crashed:
             self.fleet.tasks.start_soon(self.fleet.end, self)
             await anyio.lowlevel.checkpoint()
--- a/tests/standins/platform/store.py
+++ b/tests/standins/platform/store.py
@@ -16,14 +16,14 @@
 
 from standins.platform.wire import Exchange, FindLink, find_no_link, serve
 
-LONG_BYTES = 16384  # answers with longer bodies are sent over body_time
+SLOW_BODY_BYTES = 16384  # answers with longer bodies are sent over body_time
 SLOW_BODY_PARTS = 10  # parts in which such a body is sent
 
 
 class Mode(Enum):
     """How the store responds to calls."""
 
-    SOUND = "sound"
+    HEALTHY = "sound"
     BUSY = "busy"  # 503, nothing is done
     RESET = "reset"
     SILENT = "silent"
@@ -49,8 +49,8 @@
 class Store:
     """All state in memory; the operator and the servers write through put and remove."""
 
-    mode: Mode = Mode.SOUND
-    treats: Callable[[Exchange], Mode | None] = lambda _: None  # a mode for a single call, if any
+    mode: Mode = Mode.HEALTHY
+    choose_mode: Callable[[Exchange], Mode | None] = lambda _: None  # a mode for a single call, if any
     items: dict[str, Item] = field(default_factory=dict)
     revision: int = 1
     events: list[dict[str, Any]] = field(default_factory=list)
@@ -65,7 +65,7 @@
     def set_mode(self, mode: Mode) -> None:
         """Start or end an outage; an outage ends waiting watches."""
         self.mode = mode
-        self.is_down = mode is not Mode.SOUND
+        self.is_down = mode is not Mode.HEALTHY
         self._wake()
 
     async def start(self, address: str, tasks: TaskGroup) -> None:
@@ -106,7 +106,7 @@
         while True:
             await anyio.sleep(0.02)
             now = time.monotonic()
-            if self.mode is not Mode.SOUND:
+            if self.mode is not Mode.HEALTHY:
                 continue
             for lease in [lease_id for lease_id, (end, _) in self.leases.items() if end < now]:
                 self._end(lease)
@@ -119,7 +119,7 @@
     async def _answer(self, exchange: Exchange) -> None:
         call = exchange.call
         self.calls.append((call.method, call.path))
-        mode = self.treats(exchange) or self.mode
+        mode = self.choose_mode(exchange) or self.mode
         if mode is Mode.BUSY:
             await exchange.reply(503)
             return
@@ -139,7 +139,7 @@
 
     async def _reply(self, exchange: Exchange, status: int, body: bytes) -> None:
         await exchange.begin(status, {"Content-Type": "application/json", "Content-Length": str(len(body))})
-        parts = SLOW_BODY_PARTS if len(body) > LONG_BYTES and self.body_time else 1
+        parts = SLOW_BODY_PARTS if len(body) > SLOW_BODY_BYTES and self.body_time else 1
         size = -(-len(body) // parts)
         for first in range(0, len(body), size):
             await exchange.send(body[first : first + size])
--- a/tests/system/platform/test_deadly.py
+++ b/tests/system/platform/test_deadly.py
@@ -50,7 +50,7 @@
 
 async def test_request_that_ends_its_servers_reaches_few_of_them(three: Traffic) -> None:
     await three.add_chains(halls=("east", "west", "north"))
-    three.fleet.deadly = DEADLY
+    three.fleet.crash_body = DEADLY
     third = float("inf")
     for number in range(24):
         await send_deadly(three, number % 3)
@@ -79,7 +79,7 @@
 
 async def test_final_answer_names_the_cause_and_asks_nobody_to_come_back(three: Traffic) -> None:
     await three.add_chains(halls=("east", "west", "north"))
-    three.fleet.deadly = DEADLY
+    three.fleet.crash_body = DEADLY
     await bar(three)
     ended = len(three.fleet.ended)
     for node in range(3):
@@ -94,7 +94,7 @@
 async def test_answer_without_an_event_is_not_broken_off(three: Traffic) -> None:
     """The servers that ended had answered 200; the client had nothing of it and comes back for a connection closed."""
     await three.add_chains(halls=("east", "west", "north"))
-    three.fleet.deadly = DEADLY
+    three.fleet.crash_body = DEADLY
     answer = await three.ask_for(DEADLY, "/letter/1")
     assert (answer.status_code, answer.json()["error"]) == (400, "ends_servers")
     assert len(three.fleet.ended) == 2
@@ -102,9 +102,9 @@
 
 async def test_others_with_another_body_caller_or_place_are_served(three: Traffic) -> None:
     await three.add_chains(halls=("east", "west", "north"))
-    three.fleet.deadly = DEADLY
+    three.fleet.crash_body = DEADLY
     await bar(three)
-    three.fleet.deadly = None
+    three.fleet.crash_body = None
     answers = [await three.ask_for(DEADLY, "/letter/2", node) for node in range(3)]
     answers += [await three.ask("/letter/1", node=node) for node in range(3)]
     assert [answer.status_code for answer in answers] == [200] * 6
@@ -113,7 +113,7 @@
 async def test_bystanders_are_served(three: Traffic) -> None:
     """Streams that run on the servers that end, begun long before it or with it."""
     await three.add_chains(halls=("east", "west", "north"))
-    three.fleet.answer_tokens, three.fleet.token_time, three.fleet.deadly_after = 100, 0.02, 0.1
+    three.fleet.answer_tokens, three.fleet.token_time, three.fleet.crash_delay = 100, 0.02, 0.1
     statuses: list[int | None] = []
     async with anyio.create_task_group() as tasks:
 
@@ -129,7 +129,7 @@
         for number in range(12):
             tasks.start_soon(ask, number)
             await anyio.sleep(0.1)
-        three.fleet.deadly = DEADLY
+        three.fleet.crash_body = DEADLY
         tasks.start_soon(bar, three)
         for number in range(12, 18):
             tasks.start_soon(ask, number)
@@ -147,12 +147,12 @@
         await exchange.reset()
 
     for server in servers:
-        server.spoil = reset
+        server.fault_handler = reset
     for number in range(6):
         answer = await three.ask("/letter/1", node=number % 3)
         assert answer.status_code in {502, 503}
     for server in servers:
-        server.spoil = None
+        server.fault_handler = None
     await anyio.sleep(HEARING_TIME)
     answer = await three.ask("/letter/1")
     assert list_ids(answer.text) == list(range(1, 11))
@@ -161,7 +161,7 @@
 async def test_request_that_ends_plain_servers_is_barred_too(three: Traffic) -> None:
     for _ in range(3):
         await three.add_desk()
-    three.fleet.deadly = DEADLY
+    three.fleet.crash_body = DEADLY
     await bar(three, "/check/1")
     assert len(three.fleet.ended) == 2
     answer = await three.ask_for(DEADLY, "/check/1", node=1)
@@ -186,12 +186,12 @@
             statuses.append(answer.status_code)
 
         for server in servers:
-            server.spoil = wait
+            server.fault_handler = wait
         tasks.start_soon(ask)
         await wait_for(lambda: bool(three.fleet.runs))
         for server in servers:
-            server.spoil = None
-        three.fleet.deadly = DEADLY
+            server.fault_handler = None
+        three.fleet.crash_body = DEADLY
         busy = three.fleet.runs[0].server
         others = [server for server in servers if server.id == busy]
         others[0].state = "draining"
@@ -218,7 +218,7 @@
         first.state = "draining"
         first.announce()
         await anyio.sleep(0.1)
-        three.fleet.deadly = DEADLY
+        three.fleet.crash_body = DEADLY
         for node in (0, 1, 0):
             await send_deadly(three, node)
     assert ids == list(range(1, 21))
@@ -226,7 +226,7 @@
 
 async def test_node_that_starts_anew_is_told(three: Traffic) -> None:
     await three.add_chains(halls=("east", "west", "north"))
-    three.fleet.deadly = DEADLY
+    three.fleet.crash_body = DEADLY
     await bar(three)
     three.nodes[0].restart()
     await three.nodes[0].wait_until_ready(three.client)
--- a/tests/system/platform/test_directives.py
+++ b/tests/system/platform/test_directives.py
@@ -83,7 +83,7 @@
 async def test_server_that_says_it_leaves_gets_no_more_requests(tmp_path: Path) -> None:
     async with open_traffic(tmp_path, nodes=NODES, link_rate=LINK_RATE) as traffic:
         leaving = find_first(await traffic.add_chains(), "east")
-        leaving.says_leaving = True
+        leaving.announces_leaving = True
         answers = await ask_everywhere(traffic, "/letter/1", 4.0)
         assert find_breaches(traffic.fleet.record) == []
         assert {answer.status_code for answer in answers} == {200}
--- a/tests/system/platform/test_kepttries.py
+++ b/tests/system/platform/test_kepttries.py
@@ -56,14 +56,14 @@
     return traffic.fleet.servers[traffic.fleet.runs[0].tokens[0][0].address]
 
 
-async def silence_first(traffic: Traffic, servers: list[Server], spoil: Callable[[Exchange, Run], Any]) -> Server:
+async def silence_first(traffic: Traffic, servers: list[Server], handler: Callable[[Exchange, Run], Any]) -> Server:
     """Let the first server of a stream under way be silent, and the others answer in another way; gives the first."""
     await wait_for(lambda: any(len(run.tokens) > 5 for run in traffic.fleet.runs))
     first = first_of(traffic)
-    first.is_dark = True
+    first.is_unresponsive = True
     for server in servers:
         if server is not first:
-            server.spoil = spoil
+            server.fault_handler = handler
     return first
 
 
@@ -78,11 +78,11 @@
             await wait_for(lambda: any(len(run.tokens) > 5 for run in frugal.fleet.runs))
             chain = [frugal.fleet.servers[part.address] for part in frugal.fleet.runs[0].tokens[0]]
             for server in chain:
-                server.is_dark = True
+                server.is_unresponsive = True
             await anyio.sleep(0.6)
-            chain[0].is_dark = False
+            chain[0].is_unresponsive = False
             await anyio.sleep(1.0)
-            chain[1].is_dark = False
+            chain[1].is_unresponsive = False
 
         tasks.start_soon(trouble)
         answers.append(await frugal.ask("/letter/1", X_Deadline_Ms="15000", X_Request_Id="detour"))
@@ -100,11 +100,11 @@
         async def trouble() -> None:
             await wait_for(lambda: any(len(run.tokens) > 5 for run in frugal.fleet.runs))
             chain = [frugal.fleet.servers[part.address] for part in frugal.fleet.runs[0].tokens[0]]
-            chain[0].is_dark = chain[1].is_dark = True
+            chain[0].is_unresponsive = chain[1].is_unresponsive = True
             await anyio.sleep(0.6)
-            chain[0].is_dark = False
+            chain[0].is_unresponsive = False
             await anyio.sleep(1.0)
-            chain[1].is_dark = False
+            chain[1].is_unresponsive = False
 
         tasks.start_soon(trouble)
         await frugal.ask("/letter/1", X_Deadline_Ms="15000", X_Request_Id="detour")
@@ -162,9 +162,9 @@
             await wait_for(lambda: bool(rich.fleet.runs))
             for server in servers:
                 if server.id == rich.fleet.runs[0].server:
-                    server.is_dark = True
+                    server.is_unresponsive = True
                 else:
-                    server.spoil = fail
+                    server.fault_handler = fail
 
         tasks.start_soon(trouble)
         answers.append(await rich.ask("/letter/1", X_Deadline_Ms="5000", X_Request_Id="own-failure"))
@@ -181,14 +181,14 @@
         async def trouble() -> None:
             await wait_for(lambda: any(len(run.tokens) > 5 for run in rich.fleet.runs))
             first = first_of(rich)
-            first.is_dark = True
+            first.is_unresponsive = True
 
             others = [s for s in servers if s is not first]
             for server in others:
-                server.spoil = refuse
+                server.fault_handler = refuse
             await anyio.sleep(0.6)
             for server in others:
-                server.spoil = None
+                server.fault_handler = None
 
         tasks.start_soon(trouble)
         with anyio.move_on_after(9):
@@ -213,7 +213,7 @@
         async def trouble() -> None:
             first = await silence_first(rich, servers, wait_long)
             await anyio.sleep(0.6)
-            first.is_dark = False
+            first.is_unresponsive = False
 
         tasks.start_soon(trouble)
         answers.append(await rich.ask("/letter/1", X_Deadline_Ms="15000", X_Request_Id="slow"))
@@ -238,11 +238,11 @@
             chain = [rich.fleet.servers[part.address] for part in rich.fleet.runs[0].tokens[0]]
             others = [server for server in servers if server not in chain]
             for server in others:
-                server.spoil = refuse_unseen
-            chain[0].is_dark = True
+                server.fault_handler = refuse_unseen
+            chain[0].is_unresponsive = True
             await anyio.sleep(1.2)
             for server in others:
-                server.spoil = None
+                server.fault_handler = None
             await chain[0].crash()
 
         tasks.start_soon(trouble)
--- a/tests/system/platform/test_keys.py
+++ b/tests/system/platform/test_keys.py
@@ -57,7 +57,7 @@
         assert not traffic.fleet.runs
         assert (await traffic.ask("/open/1", "GET")).status_code == 200
         assert not await traffic.nodes[0].is_ready(traffic.client)
-        traffic.fleet.store.set_mode(Mode.SOUND)
+        traffic.fleet.store.set_mode(Mode.HEALTHY)
         await wait_for(lambda: any(line["message"] == "store regained" for line in traffic.nodes[0].read_log()[3:]))
         await anyio.sleep(0.5)
         assert (await traffic.ask("/once/2")).status_code == 200
@@ -82,7 +82,7 @@
     store.set_mode(Mode.RESET)
     await anyio.sleep(0.5)
     store.remove(f"servers/{desk.id}")
-    store.set_mode(Mode.SOUND)
+    store.set_mode(Mode.HEALTHY)
     await anyio.sleep(0.6)
     assert (await traffic.ask("/once/1")).status_code == 200
     await anyio.sleep(2.5)
--- a/tests/system/platform/test_placing.py
+++ b/tests/system/platform/test_placing.py
@@ -27,11 +27,11 @@
     servers = []
     for hall in ("east", "west"):
         server = await traffic.fleet.add(f"127.0.0.1:{find_port()}", "llm", hall, "big")
-        server.late_orders = 3.0  # the order is repeated before
+        server.order_delay = 3.0  # the order is repeated before
         servers.append(server)
     await anyio.sleep(2.2)
     for server in servers:
-        server.late_orders = 0.0
+        server.order_delay = 0.0
     await wait_for(lambda: all(server.held for server in servers))
     await anyio.sleep(3.0)
     assert [server.orders for server in servers] == [1, 1]
@@ -51,11 +51,11 @@
 async def test_no_order_without_the_store(traffic: Traffic) -> None:
     await traffic.add_chains(halls=("east",))
     server = await traffic.fleet.add(f"127.0.0.1:{find_port()}", "llm", "west", "big")
-    server.is_dark = True  # known, and not ordered yet
+    server.is_unresponsive = True  # known, and not ordered yet
     await anyio.sleep(0.5)
     traffic.fleet.store.set_mode(Mode.SILENT)
     await anyio.sleep(4.5)  # the lease is over
-    server.is_dark = False
+    server.is_unresponsive = False
     await anyio.sleep(2.0)
     assert server.orders == 0
 
--- a/tests/system/platform/test_plain.py
+++ b/tests/system/platform/test_plain.py
@@ -60,7 +60,7 @@
 @pytest.mark.parametrize("fault", FAULTS)
 async def test_request_that_must_not_run_twice_runs_once(traffic: Traffic, fault: object) -> None:
     first, second = await traffic.add_desk(), await traffic.add_desk()
-    first.spoil = second.spoil = fault  # type: ignore[assignment]
+    first.fault_handler = second.fault_handler = fault  # type: ignore[assignment]
     answer = await traffic.ask("/once/1")
     assert answer.status_code in {502, 504}  # no promise that it has not run
     assert len(traffic.fleet.runs) == 1
@@ -72,11 +72,11 @@
 
     async def spoil_once(exchange: Exchange, run: Run) -> None:
         for server in servers:
-            server.spoil = None
+            server.fault_handler = None
         await fault(exchange, run)  # type: ignore[operator]
 
     for server in servers:
-        server.spoil = spoil_once
+        server.fault_handler = spoil_once
     answer = await traffic.ask("/check/1", "GET")
     assert answer.status_code == 200
     assert answer.text == f"answer to {traffic.fleet.runs[0].request}"
@@ -85,9 +85,9 @@
 
 async def test_surplus_answer_is_never_passed_on(traffic: Traffic) -> None:
     desk = await traffic.add_desk()
-    desk.spoil = answer_twice
+    desk.fault_handler = answer_twice
     assert (await traffic.ask("/check/1", "GET")).text == "first"
-    desk.spoil = None
+    desk.fault_handler = None
     answer = await traffic.ask("/check/2", "GET")
     assert answer.text == f"answer to {traffic.fleet.runs[-1].request}"
 
--- a/tests/system/platform/test_relays.py
+++ b/tests/system/platform/test_relays.py
@@ -153,7 +153,7 @@
     def treat(exchange: Exchange) -> Mode | None:
         return mode if exchange.call.headers["host"] == relay.store_address else None
 
-    traffic.fleet.store.treats = treat
+    traffic.fleet.store.choose_mode = treat
     await anyio.sleep(1.0)  # the watch under way was taken before
     await leave(traffic)
     await anyio.sleep(DRAIN_TIME - 0.3)
@@ -191,7 +191,7 @@
     store.body_time = 0.25
     store.put("other", b"from here on all watch and ask at the same time")
     await anyio.sleep(times.gather + times.watch - 0.1)
-    store.treats = treat
+    store.choose_mode = treat
     configure(store, make_long_configuration(2))
     await anyio.sleep(1.0)
     assert set(watches) == relays
@@ -224,7 +224,7 @@
     def treat(exchange: Exchange) -> Mode | None:
         return Mode.BUSY if exchange.call.headers["host"] == node.store_address else None
 
-    traffic.fleet.store.treats = treat
+    traffic.fleet.store.choose_mode = treat
     configure(traffic.fleet.store, make_longest_configuration(2))
     await anyio.sleep(6.0)  # longer than keys are valid without a word of the store
     answer = await traffic.ask("/more-7/1", method="GET", node=number)
@@ -242,7 +242,7 @@
     await anyio.sleep(5.0)
     answers = await ask_all(traffic)
     assert [answer.status_code for answer in answers] == [httpx.codes.SERVICE_UNAVAILABLE] * NODES
-    traffic.fleet.store.set_mode(Mode.SOUND)
+    traffic.fleet.store.set_mode(Mode.HEALTHY)
     await wait_for_relays(traffic)
     await wait_until_heard(traffic)
     assert [answer.status_code for answer in await ask_all(traffic)] == [httpx.codes.OK] * NODES
--- a/tests/system/platform/test_silence.py
+++ b/tests/system/platform/test_silence.py
@@ -51,10 +51,10 @@
             chain = [traffic.fleet.servers[part.address] for part in traffic.fleet.runs[0].tokens[0]]
             silent = choose(chain)
             for server in silent:
-                server.is_dark = True
+                server.is_unresponsive = True
             await anyio.sleep(SILENCE)
             for server in silent:
-                server.is_dark = False
+                server.is_unresponsive = False
 
         tasks.start_soon(fall_silent)
         answers.append(await traffic.ask(path, X_Deadline_Ms="15000", X_Request_Id="through-silence"))
--- a/tests/system/platform/test_starting.py
+++ b/tests/system/platform/test_starting.py
@@ -15,7 +15,7 @@
 import pytest
 
 from rig.traffic import START_TIME, Traffic
-from standins.platform.store import LONG_BYTES, Mode
+from standins.platform.store import SLOW_BODY_BYTES, Mode
 
 pytestmark = pytest.mark.anyio
 
@@ -36,7 +36,7 @@
 async def test_request_of_the_first_moment_waits_for_the_configuration(traffic: Traffic) -> None:
     await traffic.add_desk()
     store, node = traffic.fleet.store, traffic.nodes[0]
-    store.put("other/long", b"x" * LONG_BYTES)
+    store.put("other/long", b"x" * SLOW_BODY_BYTES)
     store.body_time = READING_TIME
     node.process.end()
     node.process.output.write_bytes(b"")
@@ -50,7 +50,7 @@
 async def restart_behind_a_long_reading(traffic: Traffic) -> None:
     await traffic.add_desk()
     store = traffic.fleet.store
-    store.put("other/long", b"x" * LONG_BYTES)
+    store.put("other/long", b"x" * SLOW_BODY_BYTES)
     store.body_time = LONGEST_READING_TIME
     traffic.nodes[0].process.end()
     traffic.nodes[0].restart()
--- a/tests/system/platform/test_streams.py
+++ b/tests/system/platform/test_streams.py
@@ -29,9 +29,9 @@
     assert_layers_once_in_order(traffic.fleet)
 
 
-@pytest.mark.parametrize("is_dark", [pytest.param(True, id="dark"), pytest.param(False, id="crashed")])
+@pytest.mark.parametrize("is_unresponsive", [pytest.param(True, id="dark"), pytest.param(False, id="crashed")])
 @pytest.mark.parametrize("index", [pytest.param(0, id="first"), pytest.param(1, id="later part")])
-async def test_stream_goes_on_when_a_server_is_lost(traffic: Traffic, index: int, *, is_dark: bool) -> None:
+async def test_stream_goes_on_when_a_server_is_lost(traffic: Traffic, index: int, *, is_unresponsive: bool) -> None:
     servers = await traffic.add_chains()
     traffic.fleet.answer_tokens = 60
     async with anyio.create_task_group() as tasks:
@@ -40,8 +40,8 @@
             await wait_for(lambda: any(run.tokens for run in traffic.fleet.runs))
             address = traffic.fleet.runs[0].tokens[0][index].address
             server = next(one for one in servers if one.address == address)
-            if is_dark:
-                server.is_dark = True
+            if is_unresponsive:
+                server.is_unresponsive = True
             else:
                 await server.crash()
 
@@ -58,7 +58,7 @@
 
     async def break_off(exchange: Exchange, run: Run) -> None:
         for server in servers:
-            server.spoil = None
+            server.fault_handler = None
         headers = {"X-Request-Id": run.request, "X-Response-Seal": f"seal-{run.server}"}
         await exchange.begin(200, headers)
         await exchange.send(b"id: 1\ndata: token 1\n\nid: 2\ndata: tok")
@@ -66,7 +66,7 @@
         await exchange.reset()
 
     for server in servers:
-        server.spoil = break_off
+        server.fault_handler = break_off
     answer = await traffic.ask("/letter/1")
     assert list_ids(answer.text) == list(range(1, 11))
     assert "tokid" not in answer.text
@@ -141,7 +141,7 @@
 
         async def lose() -> None:
             await wait_for(lambda: bool(traffic.fleet.runs))
-            next(server for server in servers if server.id == traffic.fleet.runs[0].server).is_dark = True
+            next(server for server in servers if server.id == traffic.fleet.runs[0].server).is_unresponsive = True
 
         tasks.start_soon(lose)
         answer = await traffic.ask("/notice/1")
