--- a/tests/rig/deadlysoak.py
+++ b/tests/rig/deadlysoak.py
@@ -50,17 +50,17 @@
 
     def _check_cuts(self) -> None:
         lost_at = self.findings.by_whom.lost_at
-        for at, address in self.traffic.fleet.ended:
+        for at, address in self.traffic.fleet.crashes:
             lost_at[address] = min(at, lost_at.get(address, at))
         super()._check_cuts()
 
     def _check_runs(self) -> None:
         super()._check_runs()
         fleet = self.traffic.fleet
-        self.findings.counts["servers ended by it"] = len(fleet.ended)
-        if len(fleet.ended) <= MOST_SENDS:
+        self.findings.counts["servers ended by it"] = len(fleet.crashes)
+        if len(fleet.crashes) <= MOST_SENDS:
             return
-        since = sorted(at for at, _ in fleet.ended)[2] + CONTACT_TIME + SLACK
+        since = sorted(at for at, _ in fleet.crashes)[2] + CONTACT_TIME + SLACK
         late = [run for run in fleet.runs if run.body == DEADLY and run.started > since]
         calm = [run for run in late if not self._was_troubled(run.started)]
         if len(calm) > MOST_SENDS:
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -19,7 +19,7 @@
 
 from standins.model import HIDDEN_BYTES, TOKEN_BYTES, Chain, Layers, Weights, sample
 from standins.serving import Journal, serve_app
-from standins.shelf import Shelf, name_part
+from standins.shelf import HeldParts, name_part
 from vaneturn_core.engine.messages import (
     CACHE_PATH,
     ENCODER,
@@ -84,17 +84,17 @@
         self.leaving = False
         self.peers: list[Peer] = []
         self.caches: OrderedDict[str, SessionCache] = OrderedDict()
-        self.shelf = Shelf(options, journal, self._list_used, self._report_holdings)
+        self.parts = HeldParts(options, journal, self._list_used, self._report_holdings)
         self._refused: dict[str, Refusal] = {}  # sessions whose opening was refused
         self._queue: list[tuple[int, int, Peer, Step]] = []
         self._order = itertools.count()
         self._wake = anyio.Event()
         self._layers: dict[tuple[Weights, int, int], Layers] = {}
 
-    def take(self, peer: Peer, order: Open | Step | Close | Hold) -> None:
+    def handle_order(self, peer: Peer, order: Open | Step | Close | Hold) -> None:
         if isinstance(order, Hold):
-            if not self.shelf.take(order):
-                peer.send(self.shelf.describe())
+            if not self.parts.handle_order(order):
+                peer.send(self.parts.describe())
             return
         if isinstance(order, Open):
             self._open(order)
@@ -103,7 +103,7 @@
             self.caches.pop(order.session, None)
             self._refused.pop(order.session, None)
             self.journal.write(event="close", session=order.session)
-            self.shelf.drop_ended()
+            self.parts.drop_ended()
             return
         cache = self.caches.get(order.session)
         refusal = self._find_refusal(cache, order)
@@ -140,7 +140,7 @@
     def _is_held(self, order: Open) -> bool:
         options = self.options
         if options.weight_store is not None:
-            return self.shelf.covers(name_part(order))
+            return self.parts.covers(name_part(order))
         return options.first <= order.first < order.end <= options.end and order.version in options.versions
 
     def _list_used(self) -> list[Part]:
@@ -148,7 +148,7 @@
 
     def _report_holdings(self) -> None:
         for peer in self.peers:
-            peer.send(self.shelf.describe())
+            peer.send(self.parts.describe())
 
     def _find_refusal(self, cache: SessionCache | None, step: Step) -> Refusal | None:
         if cache is None:
@@ -221,7 +221,7 @@
             b"" if is_last else outputs,
             sampled.token if sampled else None,
             sampled.text if sampled else "",
-            sampled.last if sampled else False,
+            sampled.is_last if sampled else False,
             len(self._queue),
             step.rebuild,
         )
@@ -288,7 +288,7 @@
         peer = Peer(socket)
         self.peers.append(peer)
         if self.options.weight_store is not None:
-            peer.send(self.shelf.describe())
+            peer.send(self.parts.describe())
         if self.leaving:
             peer.send(Leaving(self.options.leave_seconds))
         try:
@@ -296,7 +296,7 @@
                 tasks.start_soon(self._write, peer)
                 while True:
                     for order in ORDER_DECODER.decode(await socket.receive_bytes()):
-                        self.take(peer, order)
+                        self.handle_order(peer, order)
         except* (WebSocketDisconnect, RuntimeError):
             pass
         finally:
@@ -318,7 +318,7 @@
         self.journal.write(event="start")
         async with anyio.create_task_group() as self.tasks:
             self.tasks.start_soon(self.batch)
-            self.tasks.start_soon(self.shelf.run)
+            self.tasks.start_soon(self.parts.run)
             await serve_app(make_app(self), self.options.port)
 
 
@@ -347,7 +347,7 @@
         return Response()
 
     async def show(_request: Request) -> Response:
-        return JSONResponse({"sessions": len(engine.caches), "queued": len(engine._queue), "fence": engine.shelf.fence})
+        return JSONResponse({"sessions": len(engine.caches), "queued": len(engine._queue), "fence": engine.parts.fence})
 
     cache_path = CACHE_PATH + "/{session}"
     return Starlette(
--- a/tests/standins/model.py
+++ b/tests/standins/model.py
@@ -52,7 +52,7 @@
 
     token: int
     text: str
-    last: bool
+    is_last: bool
 
 
 def sample(hidden: bytes, seed: int, position: int) -> Sampled:
@@ -73,7 +73,7 @@
     while len(answer) < max_tokens:
         sampled = sample(hidden, seed, position)
         answer.append(sampled)
-        if sampled.last:
+        if sampled.is_last:
             break
         chain, hidden = whole.run(chain, sampled.token.to_bytes(TOKEN_BYTES, "big"))
         position += 1
--- a/tests/standins/platform/servers.py
+++ b/tests/standins/platform/servers.py
@@ -61,7 +61,7 @@
     crash_delay: float = 0.03  # seconds from the start of that request to the crash
     restart_time: float = 0.5  # seconds from that crash to the next start at the same address
     reports_births: bool = False  # whether servers report when they started
-    ended: list[tuple[float, str]] = field(default_factory=list)  # monotonic time and address of each crash
+    crashes: list[tuple[float, str]] = field(default_factory=list)  # monotonic time and address of each crash
     runs: list[Run] = field(default_factory=list)
     record: DirectiveRecord = field(default_factory=DirectiveRecord)
     servers: dict[str, Server] = field(default_factory=dict)  # by address
@@ -73,9 +73,9 @@
         await server.start()
         return server
 
-    async def end(self, server: Server) -> None:
+    async def crash_and_restart(self, server: Server) -> None:
         """Crash a server and start it again after some time; it holds no layers then."""
-        self.ended.append((time.monotonic(), server.address))
+        self.crashes.append((time.monotonic(), server.address))
         await server.crash()
         await anyio.sleep(self.restart_time)
         if self.reports_births:
@@ -294,7 +294,7 @@
         """Run a request that crashes this server."""
         await anyio.sleep(self.fleet.crash_delay)
         if not self.is_crashed:
-            self.fleet.tasks.start_soon(self.fleet.end, self)
+            self.fleet.tasks.start_soon(self.fleet.crash_and_restart, self)
             await anyio.lowlevel.checkpoint()
         await exchange.reset()
 
--- a/tests/standins/shelf.py
+++ b/tests/standins/shelf.py
@@ -17,7 +17,7 @@
     return Part(opened.model, opened.version, opened.adapter, opened.first, opened.end)
 
 
-class Shelf:
+class HeldParts:
     """The parts that an engine holds by fenced orders, and their loading from the weight store."""
 
     def __init__(
@@ -47,7 +47,7 @@
     def describe(self) -> Holdings:
         return Holdings(self.fence, tuple(self._held_parts), tuple(self._loading), tuple(self._ending))
 
-    def take(self, order: Hold) -> bool:
+    def handle_order(self, order: Hold) -> bool:
         """Carry out an order; return False if its fence is too old."""
         if order.fence < self.fence and not self._options.no_fence:
             self._journal.write(event="fenced", fence=order.fence, newest=self.fence)
--- a/tests/system/platform/test_deadly.py
+++ b/tests/system/platform/test_deadly.py
@@ -55,12 +55,12 @@
     for number in range(24):
         await send_deadly(three, number % 3)
         await anyio.sleep(0.25)
-        if third == float("inf") and len(three.fleet.ended) >= 3:
-            third = three.fleet.ended[2][0]
+        if third == float("inf") and len(three.fleet.crashes) >= 3:
+            third = three.fleet.crashes[2][0]
         if time.monotonic() > third + 5:
             break
     runs = [run for run in three.fleet.runs if run.body == DEADLY and run.started > third + HEARING_TIME]
-    assert len(runs) <= MOST_SENDS, f"{len(three.fleet.ended)} servers ended"
+    assert len(runs) <= MOST_SENDS, f"{len(three.fleet.crashes)} servers ended"
     answer = await three.ask("/letter/1")
     assert list_ids(answer.text) == list(range(1, 11))
 
@@ -81,14 +81,14 @@
     await three.add_chains(halls=("east", "west", "north"))
     three.fleet.crash_body = DEADLY
     await bar(three)
-    ended = len(three.fleet.ended)
+    crashes = len(three.fleet.crashes)
     for node in range(3):
         answer = await three.ask_for(DEADLY, "/letter/1", node, X_Request_Id=f"last-{node}")
         assert answer.status_code == 400
         assert answer.json()["error"] == "ends_servers"
         assert "retry-after" not in answer.headers
         assert not three.fleet.find_runs(f"last-{node}")
-    assert len(three.fleet.ended) == ended == 2
+    assert len(three.fleet.crashes) == crashes == 2
 
 
 async def test_answer_without_an_event_is_not_broken_off(three: Traffic) -> None:
@@ -97,7 +97,7 @@
     three.fleet.crash_body = DEADLY
     answer = await three.ask_for(DEADLY, "/letter/1")
     assert (answer.status_code, answer.json()["error"]) == (400, "ends_servers")
-    assert len(three.fleet.ended) == 2
+    assert len(three.fleet.crashes) == 2
 
 
 async def test_others_with_another_body_caller_or_place_are_served(three: Traffic) -> None:
@@ -163,7 +163,7 @@
         await three.add_desk()
     three.fleet.crash_body = DEADLY
     await bar(three, "/check/1")
-    assert len(three.fleet.ended) == 2
+    assert len(three.fleet.crashes) == 2
     answer = await three.ask_for(DEADLY, "/check/1", node=1)
     assert (answer.status_code, answer.json()["error"]) == (400, "ends_servers")
     assert (await three.ask("/check/1", node=1)).status_code == 200
@@ -232,4 +232,4 @@
     await three.nodes[0].wait_until_ready(three.client)
     await anyio.sleep(HEARING_TIME)
     assert (await three.ask_for(DEADLY, "/letter/1")).status_code == 400
-    assert len(three.fleet.ended) == 2
+    assert len(three.fleet.crashes) == 2
