--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -18,8 +18,8 @@
 from starlette.websockets import WebSocket, WebSocketDisconnect
 
 from standins.model import HIDDEN_BYTES, TOKEN_BYTES, Chain, Layers, Weights, sample
+from standins.parts import HeldParts, name_part
 from standins.serving import Journal, serve_app
-from standins.shelf import HeldParts, name_part
 from vaneturn_core.engine.messages import (
     CACHE_PATH,
     ENCODER,
