--- a/tests/rig/traffic.py
+++ b/tests/rig/traffic.py
@@ -122,7 +122,7 @@
             self.fleet.tasks.start_soon(link.run)
         store_path, way_port = NetworkPath(door), find_port()
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=way_port)
-        self.fleet.tasks.start_soon(listener.serve, store_path.carry)
+        self.fleet.tasks.start_soon(listener.serve, store_path.forward)
         store_address = f"127.0.0.1:{way_port}"
         name = f"entry-{len(self.nodes) + 1}"
         settings = {
--- a/tests/standins/keyvalue.py
+++ b/tests/standins/keyvalue.py
@@ -18,7 +18,7 @@
 
 from standins.serving import Journal, serve_app
 
-MAX_VALUE = 1 << 20
+MAX_VALUE_BYTES = 1 << 20
 
 
 class Faults(msgspec.Struct, forbid_unknown_fields=True):
@@ -30,7 +30,7 @@
 
 
 @dataclass
-class Held:
+class StoredValue:
     value: bytes
     version: int
     lease: int | None = None
@@ -41,36 +41,40 @@
         self.journal = journal
         self.faults = Faults()
         self.calls: Counter[str] = Counter()
-        self._held: dict[str, Held] = {}
-        self._older: dict[str, list[Held]] = {}
-        self._leases: dict[int, float] = {}
-        self._ttls: dict[int, float] = {}
+        self._values: dict[str, StoredValue] = {}
+        self._older_values: dict[str, list[StoredValue]] = {}
+        self._lease_expiries: dict[int, float] = {}
+        self._lease_ttls: dict[int, float] = {}
         self._ids = itertools.count(1)
         self.changed = anyio.Event()
 
-    def find(self, key: str) -> Held:
-        held = self._held.get(key)
-        if held is not None and held.lease is not None and self._leases.get(held.lease, 0) < time.monotonic():
-            del self._held[key]
-            held = None
-        return held or Held(b"", 0)
+    def find(self, key: str) -> StoredValue:
+        stored = self._values.get(key)
+        if (
+            stored is not None
+            and stored.lease is not None
+            and self._lease_expiries.get(stored.lease, 0) < time.monotonic()
+        ):
+            del self._values[key]
+            stored = None
+        return stored or StoredValue(b"", 0)
 
     def put(self, key: str, value: bytes, lease: int | None) -> int:
-        held = Held(value, next(self._ids), lease)
-        self._older.setdefault(key, []).append(self.find(key))
-        self._held[key] = held
-        self.journal.write(event="write", key=key, version=held.version, size=len(value))
+        stored = StoredValue(value, next(self._ids), lease)
+        self._older_values.setdefault(key, []).append(self.find(key))
+        self._values[key] = stored
+        self.journal.write(event="write", key=key, version=stored.version, size=len(value))
         self.notify()
-        return held.version
+        return stored.version
 
     def delete(self, key: str) -> None:
-        self._held.pop(key, None)
+        self._values.pop(key, None)
         self.notify()
 
     def restore(self, key: str, steps: int) -> None:
         """Restore an older value of a key, as from a backup; the version keeps increasing."""
-        older = self._older[key][-steps]
-        self._held[key] = Held(older.value, next(self._ids))
+        older = self._older_values[key][-steps]
+        self._values[key] = StoredValue(older.value, next(self._ids))
         self.notify()
 
     def notify(self) -> None:
@@ -79,14 +83,14 @@
 
     def grant(self, ttl: float) -> int:
         lease = next(self._ids)
-        self._ttls[lease] = ttl
-        self._leases[lease] = time.monotonic() + ttl
+        self._lease_ttls[lease] = ttl
+        self._lease_expiries[lease] = time.monotonic() + ttl
         return lease
 
     def renew(self, lease: int) -> bool:
-        if self._leases.get(lease, 0) < time.monotonic():
+        if self._lease_expiries.get(lease, 0) < time.monotonic():
             return False
-        self._leases[lease] = time.monotonic() + self._ttls[lease]
+        self._lease_expiries[lease] = time.monotonic() + self._lease_ttls[lease]
         return True
 
 
@@ -102,18 +106,18 @@
         if refused:
             return refused
         key = request.path_params["key"]
-        held = store.find(key)
+        stored = store.find(key)
         if "after" in request.query_params:
             after = int(request.query_params["after"])
             with anyio.move_on_after(float(request.query_params["wait"])):
-                while (held := store.find(key)).version == after and not store.faults.down:
+                while (stored := store.find(key)).version == after and not store.faults.down:
                     with anyio.move_on_after(0.5):  # a lease may expire meanwhile
                         await store.changed.wait()
             if store.faults.down:
                 return Response(status_code=503)
-            if held.version == after:
+            if stored.version == after:
                 return Response(status_code=304, headers={"Version": str(after)})
-        return Response(held.value, headers={"Version": str(held.version)})
+        return Response(stored.value, headers={"Version": str(stored.version)})
 
     async def write(request: Request) -> Response:
         store.calls["write"] += 1
@@ -122,11 +126,11 @@
         if refused:
             return refused
         key = request.path_params["key"]
-        if len(value) > MAX_VALUE:
+        if len(value) > MAX_VALUE_BYTES:
             return Response(status_code=413)
-        held = store.find(key)
-        if held.version != int(request.query_params["expected"]):
-            return Response(status_code=409, headers={"Version": str(held.version)})
+        stored = store.find(key)
+        if stored.version != int(request.query_params["expected"]):
+            return Response(status_code=409, headers={"Version": str(stored.version)})
         if request.method == "DELETE":
             store.delete(key)
             return Response(headers={"Version": "0"})
--- a/tests/standins/relay.py
+++ b/tests/standins/relay.py
@@ -28,7 +28,7 @@
     def heal(self) -> None:
         self._open.set()
 
-    async def carry(self, caller: SocketStream) -> None:
+    async def forward(self, caller: SocketStream) -> None:
         async with caller:
             await self._open.wait()
             try:
@@ -36,13 +36,13 @@
                     await anyio.connect_tcp("127.0.0.1", self._target_port) as target,
                     anyio.create_task_group() as tasks,
                 ):
-                    tasks.start_soon(self._pump, caller, target)
-                    await self._pump(target, caller)
+                    tasks.start_soon(self._forward_data, caller, target)
+                    await self._forward_data(target, caller)
                     tasks.cancel_scope.cancel()
             except* (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
                 pass
 
-    async def _pump(self, source: ByteStream, sink: ByteStream) -> None:
+    async def _forward_data(self, source: ByteStream, sink: ByteStream) -> None:
         async for data in source:
             await self._open.wait()
             await sink.send(data)
@@ -77,7 +77,7 @@
         path = Path(options.target_port)
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=options.relay_port)
         async with listener, anyio.create_task_group() as tasks:
-            tasks.start_soon(listener.serve, path.carry)
+            tasks.start_soon(listener.serve, path.forward)
             await serve_app(make_app(path), options.port)
 
     anyio.run(run)
