--- a/packages/cli/src/vaneturn_cli/losses.py
+++ b/packages/cli/src/vaneturn_cli/losses.py
@@ -23,7 +23,7 @@
 NO_STEP: Final = "no step"
 _STEP_TIME_PREFIX: Final = re.compile(r"^\d+ms ")
 _SERVER_PATTERN: Final = re.compile(r"\b(i-[0-9a-zA-Z]+)\b(\[\d+,\d+\))?")
-_CHAIN_STEP_MARK: Final = "over "  # marks the step that names the chain of servers; it is not a cause
+_CHAIN_STEP_MARK: Final = "over "  # in steps that name a chain of servers; a step that begins with it is not a cause
 
 
 class Loss(Enum):
