--- a/packages/node/src/vaneturn_node/traffic/servers/__init__.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/__init__.py
@@ -1,1 +1,1 @@
-"""What is known of the backend servers, and which are lost. It imports no other room."""
+"""State of the backend servers and detection of lost ones. Imports no other package of `traffic`."""
--- a/packages/node/src/vaneturn_node/traffic/servers/crashwatch.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/crashwatch.py
@@ -1,4 +1,4 @@
-"""What the tries of this node show of servers that end."""
+"""Detects servers that crash under this node's requests."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from vaneturn_node.platform.servers import ServerReport
 from vaneturn_node.traffic.servers.reports import ReportBoard
 
-ASKS: Final = 2  # questions whether a server has ended; the first may go out over a connection that is not reset yet
+ASKS: Final = 2  # probes before a server counts as running; the first may use a connection that is about to be reset
 
 logger = logging.getLogger(__name__)
 
 
 class CrashWatch:
-    """Tells lost connections from ends of servers, and remembers what had just begun there."""
+    """Distinguishes lost connections from crashed servers, and records the requests that had just begun there."""
 
     def __init__(self, board: CrashBoard, reports: ReportBoard, view: PlatformView) -> None:
         self._board = board
@@ -26,11 +26,11 @@
         self._view = view
 
     async def note_cut(self, server: BackendServer, content: Content, suspicion: Suspicion | None) -> bool:
-        """Take note that the connection of a request was cut; true when the server has ended.
+        """Record that the connection of a request was cut; return whether the server has crashed.
 
-        A reset alone says nothing: servers and links reset connections of requests that harm nobody.
+        A reset alone proves nothing, because servers and links also reset connections of harmless requests.
 
-        :param suspicion: none for a request that is known not to end servers.
+        :param suspicion: None for a request that is known not to crash servers.
         """
         if suspicion is not None:
             self._note_lost(server, content, suspicion)
@@ -44,23 +44,23 @@
         return False
 
     def note_silent(self, server: BackendServer, content: Content, suspicion: Suspicion) -> None:
-        """Take note that a server is silent; it has ended when nobody listens there, or when its entry goes."""
+        """Record an unresponsive server; it has crashed if its address refuses connections or its entry is removed."""
         self._note_lost(server, content, suspicion)
         if self._reports.is_gone(server.id):
             self._note_refused(server, content)
 
     def note_sound(self, server: BackendServer, content: Content) -> None:
-        """Take note that a server has run a request well."""
+        """Record that a server has run a request without a crash."""
         if self._board.note_sound(content, server.software):
             logger.info("request cleared", extra={"content": format_content(content)})
 
     def note_listed(self) -> None:
-        """Take note of the list of servers: those that were lost and are gone from it have ended."""
+        """Check the list of servers: lost servers that are no longer listed have crashed."""
         for server in self._board.confirm_absent(self._view.servers):
             self._log_end(server, "entry gone")
 
     def _note_lost(self, server: BackendServer, content: Content, suspicion: Suspicion) -> None:
-        """Remember a request that was lost, unless the server leaves as planned."""
+        """Record a lost request, unless the server is draining."""
         listed = self._view.servers.get(server.id)
         if listed is not None and listed.state is not ServerState.DRAINING:
             self._board.note_lost(server.id, server.software, content, suspicion)
--- a/packages/node/src/vaneturn_node/traffic/servers/directivekeeper.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/directivekeeper.py
@@ -1,4 +1,4 @@
-"""Takes what servers ask of this node, and logs what has changed."""
+"""Applies the directives that servers send with their answers, and logs changes."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from vaneturn_core.traffic.servers import BackendServer, ServerId
 from vaneturn_node.clock import read_clock
 
-MAX_SPREAD: Final = 0.3  # seconds over which nodes that were asked for rest at once return
-MAX_REMEMBERED: Final = 1024  # servers whose newest directives are remembered, so that each change is logged once
+MAX_SPREAD: Final = 0.3  # seconds; spreads the return of nodes that were asked for rest at the same time
+MAX_REMEMBERED: Final = 1024  # servers whose latest directives are kept, so that each change is logged once
 
 logger = logging.getLogger(__name__)
 
 
 class DirectiveKeeper:
-    """What servers ask of this node."""
+    """Applies directives of servers to their status and rate limits."""
 
     def __init__(self, beliefs: ServerBeliefs, limits: RateLimits) -> None:
         self._beliefs = beliefs
@@ -27,9 +27,9 @@
         self._newest: dict[ServerId, ServerDirectives] = {}
 
     def take(self, server: BackendServer, directives: ServerDirectives, sent_at: float) -> None:
-        """Take what an answer asks.
+        """Apply the directives of an answer.
 
-        :param sent_at: steady time at which the request of the answer was sent.
+        :param sent_at: monotonic time at which the request was sent.
         """
         now, belief = read_clock(), self._beliefs[server.id]
         if not directives.is_rate_unreadable:
--- a/packages/node/src/vaneturn_node/traffic/servers/exchange.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/exchange.py
@@ -1,4 +1,4 @@
-"""What every forwarder of a node shares."""
+"""Objects that all forwarders of a node share."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 from vaneturn_node.traffic.servers.reports import JOIN_AGE, ReportBoard
 from vaneturn_node.traffic.servers.signals import Signal
 
-CONTROLS: Final = 2  # servers asked for whether this VM hears anybody; one of them may be lost as well
+CONTROLS: Final = 2  # servers probed to check this VM's own connectivity; one of them may be lost as well
 
 
 @dataclass
 class TrafficParts:
-    """One instance for each process."""
+    """The shared objects; one instance per process."""
 
     vm: VmId
     hall: DataHall
@@ -69,7 +69,7 @@
     crash_watch: CrashWatch = field(init=False)
 
     def __post_init__(self) -> None:
-        """Make the parts that are made of the others."""
+        """Create the objects that depend on other fields."""
         self.crashes = CrashBoard(read_clock, self.view.list_software)
         self.crash_watch = CrashWatch(self.crashes, self.reports, self.view)
         self.directives = DirectiveKeeper(self.beliefs, self.limits)
@@ -83,7 +83,7 @@
         )
 
     def find_budget(self, service: ServiceName) -> WindowedRetryBudget:
-        """Find the retry budget of a service."""
+        """Return the retry budget of a service, creating it on first use."""
         budget = self.budgets.get(service)
         if budget is None:
             budget = self.budgets[service] = WindowedRetryBudget(
@@ -96,7 +96,7 @@
         return budget
 
     def find_layer_map(self, service: ServiceName, engine: EngineProfile) -> LayerMap:
-        """Find who holds which layers now; built anew only when the list of servers has changed."""
+        """Return the map of servers by layer; rebuilt only when the list of servers has changed."""
         servers = self.view.list_servers(service)
         known = self.layer_maps.get(service)
         if known is None or not known.is_of(engine, servers):
@@ -104,28 +104,28 @@
         return known
 
     def list_choosable(self, service: ServiceName, avoided: Iterable[ServerId]) -> list[BackendServer]:
-        """List the servers of a service that may get new work."""
+        """List the servers of a service that are eligible for new work."""
         return self.beliefs.list_choosable(self.view.list_servers(service), avoided, read_clock())
 
     def list_accepting(self, service: ServiceName, avoided: Iterable[ServerId]) -> list[BackendServer]:
-        """List the choosable servers of a service that accept requests from this node."""
+        """List the eligible servers of a service that accept requests from this node."""
         now = read_clock()
         choosable = self.list_choosable(service, avoided)
         return [server for server in choosable if self.beliefs[server.id].may_take_request(now)]
 
     def compute_wait(self, service: ServiceName) -> float:
-        """Compute the seconds until a server of a service accepts requests again; 0 when one does, or none will."""
+        """Compute the seconds until a server of a service accepts requests again; 0 if one does now or none will."""
         now = read_clock()
         leading = [server for server in self.view.list_servers(service) if server.can_lead]
         staying = [belief for belief in (self.beliefs[server.id] for server in leading) if not belief.is_leaving]
         return min((belief.compute_wait(now) for belief in staying), default=0.0)
 
     async def hears_others(self, but: Collection[ServerId], since: float) -> bool:
-        """Tell whether this VM hears servers, others than some; asks a few of them if it has asked nobody since.
+        """Check whether this VM can reach servers other than the given ones, probing a few if none has responded.
 
-        Where there is one server at most it is taken to hear: nothing speaks against it.
+        With at most one engine server there is nothing to compare with, so the VM counts as connected.
 
-        :param since: steady time; an answer to an older question says nothing.
+        :param since: monotonic time; responses to probes sent earlier do not count.
         """
         engines = [one for one in self.view.servers.values() if one.kind is not None]
         if len(engines) <= 1 or self.hearing.has_heard_since(since):
@@ -138,9 +138,9 @@
         return self.hearing.has_heard_since(asked_at - JOIN_AGE)
 
     def note_lost(self, server: ServerId) -> None:
-        """Take note that a server has failed for this node, once while it rests for that; other nodes are told.
+        """Record a failure of a server, unless its backoff is still running, and report it to other nodes.
 
-        Five streams that saw one silence of a server made 8 s of rest out of it, in place of 0.7 s.
+        Without this check, five streams that saw the same 0.1 s silence would extend the backoff from 0.7 s to 8 s.
         """
         now = read_clock()
         if self.beliefs[server].found_until <= now:
@@ -148,7 +148,7 @@
         self.loss_found.give()
 
     def note_refusal(self, server: ServerId, fullness: float) -> None:
-        """Take note that a server lacks room, or is lost, by how full it should be."""
+        """Record that a server refused a request: it lacks capacity or is lost, depending on its expected fullness."""
         now = read_clock()
         belief = self.beliefs[server]
         belief.record_refusal(now, fullness)
@@ -156,7 +156,7 @@
             self.loss_found.give()
 
     async def release(self, link: HttpLink, address: str, *, is_whole: bool) -> None:
-        """Keep a connection whose exchange ended as it should, and close any other at once."""
+        """Return a connection to the pool if its exchange completed, and close it at once otherwise."""
         with anyio.CancelScope(shield=True):
             if is_whole:
                 await self.pool.put_back(link, address)
--- a/packages/node/src/vaneturn_node/traffic/servers/firstreading.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/firstreading.py
@@ -1,4 +1,4 @@
-"""The first reading of the store, which the requests of a node's first moments wait for."""
+"""The first read of the store, which requests wait for while a node starts."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 
 class FirstReading:
-    """Begun with the process; ended once, well or not."""
+    """Starts with the process and ends once, whether the read succeeded or failed."""
 
     def __init__(self) -> None:
         self._began = read_clock()
         self._ended = anyio.Event()
 
     def end(self) -> None:
-        """Let all who wait go on: there is a configuration now, or none is on its way."""
+        """Release all waiting requests: the configuration has been read, or the read has failed."""
         self._ended.set()
 
     def describe(self) -> str:
-        """Describe it, for the log line of a request that got no configuration."""
+        """Describe the state of the read, for the log line of a request that got no configuration."""
         state = "ended without a configuration" if self._ended.is_set() else "under way"
         return f"first reading {state}, {read_clock() - self._began:.2f} s after its begin"
 
     async def wait(self, deadline: float | None, arrived: float) -> None:
-        """Wait for its end, for as long as a client bears.
+        """Wait until the read ends, but no longer than the client does.
 
         :param deadline: seconds that the client waits.
-        :param arrived: when its request did, by the steady clock.
+        :param arrived: monotonic time at which the request arrived.
         """
         longest = compute_first_wait(deadline, read_clock() - arrived, is_read=self._ended.is_set())
         with anyio.move_on_after(longest):
--- a/packages/node/src/vaneturn_node/traffic/servers/lossfinding.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/lossfinding.py
@@ -1,4 +1,4 @@
-"""Finds the parts of a chain that keep a stream from going on: lost, stalled or much too slow."""
+"""Finds the parts of a chain that block a stream because they are lost, stalled or much too slow."""
 
 from __future__ import annotations
 
@@ -20,44 +20,45 @@
 from vaneturn_node.traffic.servers.exchange import TrafficParts
 from vaneturn_node.traffic.servers.reports import REPORT_AGE
 
-SLOW_PAUSE: Final = 0.1  # seconds between events on average, above which the parts are asked for their speed
-SPEED_AGE: Final = 1.0  # seconds for which a server's word on its speed serves all requests
+SLOW_PAUSE: Final = 0.1  # seconds; from this average gap between events on, the parts are asked for their slowness
+SPEED_AGE: Final = 1.0  # seconds for which a reported slowness is shared by all requests
 HEARD_AGE: Final = 0.08  # seconds for which a server that has worked for any request counts as alive
-HEARD_SHARE: Final = 0.8  # of the silence that is borne, for which it does at most: all worked when that began
-MAX_SILENCES: Final = 2  # questions without answer after which the first server counts as lost: its answer may be whole
-MANY_QUIET: Final = 3  # requests that are all quiet on a server, as it was not heard of: one silence is enough
+# limits HEARD_AGE to this share of the tolerated silence, because all parts were working when the silence began
+HEARD_SHARE: Final = 0.8
+MAX_SILENCES: Final = 2  # unanswered probes until the first server counts as lost; its answer may still be complete
+MANY_QUIET: Final = 3  # with this many requests in progress on an unresponsive server, one unanswered probe is enough
 
 logger = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class Losses:
-    """What one look has found."""
+    """Result of one check of a chain."""
 
     parts: list[Part]  # to be replaced
-    is_first_gone: bool = False  # the server that answers has ended, or is cut off
+    is_first_gone: bool = False  # the first server, which sends the answer, has crashed or is unreachable
 
 
 class LossFinder:
-    """Looks on behalf of one send of a request."""
+    """Checks the chain of one send of a request."""
 
     def __init__(self, parts: TrafficParts, request: RequestId | None) -> None:
         self._parts = parts
-        self._request = request  # its id, as the servers know it
-        self._silences = 0  # questions to the first server without an answer
+        self._request = request  # the id that was sent to the servers
+        self._silences = 0  # unanswered probes of the first server
         self._logged: tuple[set[ServerId], bool] = (set(), True)
-        self._has_spared = False  # parts that had worked for another request a moment ago
+        self._has_spared = False  # whether parts were not probed because they had just worked for another request
 
     @property
     def should_ask_soon(self) -> bool:
-        """Tell whether the newest look says little: the first server was silent, or some parts were not asked."""
+        """Whether the latest check was inconclusive: the first server did not respond, or parts were not probed."""
         return self._silences > 0 or self._has_spared
 
     async def find(self, chain: Chain, *, usual_pause: float, borne: float | None = None) -> Losses:
-        """Ask the parts that nothing was heard of lately for a sign of life, and the first for what stalls.
+        """Probe the parts that have not been heard from lately, and ask the first server which part stalls.
 
         :param usual_pause: seconds between the events of this answer.
-        :param borne: seconds of silence after which the first look was due; none before the first event.
+        :param borne: seconds of silence after which the first check was due; None before the first event.
         """
         heard_age = HEARD_AGE if borne is None else min(HEARD_AGE, HEARD_SHARE * borne)
         lost = await self._find_silent(chain, heard_age)
@@ -75,7 +76,7 @@
         return self._silences >= enough or self._parts.reports.is_gone(first)
 
     async def _find_silent(self, chain: Chain, heard_age: float) -> list[Part]:
-        """Find the parts that give no sign of life while others do; while this VM hears nobody, there are none."""
+        """Find the parts that do not respond while others do; none while this VM cannot reach any server."""
         started = read_clock()
         quiet = [part for part in chain.parts if self._parts.beliefs[part.server.id].heard_at < started - heard_age]
         self._has_spared = len(quiet) < len(chain.parts)
@@ -95,7 +96,7 @@
         return refused + silent
 
     async def _ask(self, parts: Sequence[Part], age: float = REPORT_AGE) -> list[Part]:
-        """Ask parts for a sign of life; gives those that give none, or none while most others answer at once."""
+        """Probe parts and return those that do not respond, or not in time once most of the others have responded."""
         silent = list(parts)
         answers: list[float] = []
         began = anyio.current_time()
@@ -115,7 +116,7 @@
         return silent
 
     async def _ask_again(self, chain: Chain, silent: list[Part]) -> tuple[list[Part], bool]:
-        """Ask the silent parts once more, beside others; gives those still silent, and whether this VM hears others."""
+        """Probe the unresponsive parts and other servers; return the parts still unresponsive and if others respond."""
         asked_at, began = read_clock(), anyio.current_time()
         quiet = {part.server.id for part in silent}
         still = list(silent)
@@ -132,7 +133,7 @@
         return still, is_hearing
 
     def _log_silent(self, silent: list[Part], asked: int, started: float, *, is_hearing: bool) -> None:
-        """Log who did not answer, of how many; while this VM hears nobody, that says nothing of them."""
+        """Log which of the probed servers did not respond; not their fault while this VM cannot reach any server."""
         found = {part.server.id for part in silent}, is_hearing
         if found == self._logged:
             return
@@ -143,13 +144,13 @@
             "silent": [part.server.id for part in silent],
             "asked": asked,
             "hears_others": is_hearing,
-            "took": round(now - started, 3),  # far over the time for two signs of life: this process was held up
-            "heard_age": round(min(now - self._parts.beliefs.heard_at, MAX_TOLD_AGE), 3),  # of any server
+            "took": round(now - started, 3),  # if far longer than two probes take, this process was delayed
+            "heard_age": round(min(now - self._parts.beliefs.heard_at, MAX_TOLD_AGE), 3),  # since any server responded
         }
         logger.info("servers silent", extra=extra)
 
     async def _find_slow(self, chain: Chain) -> list[Part]:
-        """Find the parts that say of themselves that they are much slower than their kind."""
+        """Find the parts that report themselves as much slower than others of their kind."""
         slow: list[Part] = []
 
         async def ask(part: Part) -> None:
@@ -166,7 +167,7 @@
         return slow
 
     def _find_stalled(self, chain: Chain) -> Part | None:
-        """Find the part that the first server waits for, by its newest report."""
+        """Find the part that the first server waits for, according to its latest report."""
         report = self._parts.reports.find(chain.first.id)
         if report is None or self._request is None:
             return None
--- a/packages/node/src/vaneturn_node/traffic/servers/permits.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/permits.py
@@ -1,4 +1,4 @@
-"""Gets permits for requests to servers that limit their rate, from the node that issues them."""
+"""Obtains permits for requests to rate-limited servers from the node that issues them."""
 
 from __future__ import annotations
 
@@ -19,33 +19,33 @@
 from vaneturn_node.http1.caller import Caller, Reply
 
 PERMITS_PATH: Final = "/permits"
-PERMIT_TIME: Final = 0.1  # seconds for an answer of the issuer; a sound one answers in 2 to 10 ms
-LEFT_ALONE: Final = 2.0  # seconds for which an issuer that did not answer is not asked
-NO_ISSUER_WAIT: Final = 0.5  # seconds without requests to a server for which no node issues permits
-MAX_WAIT: Final = 5.0  # seconds until a node asks again, for low limits that end meanwhile
+PERMIT_TIME: Final = 0.1  # seconds until an issuer times out; a healthy one answers in 2 to 10 ms
+LEFT_ALONE: Final = 2.0  # seconds for which an issuer that did not answer is not asked again
+NO_ISSUER_WAIT: Final = 0.5  # seconds without requests to a server if no node can issue permits for it
+MAX_WAIT: Final = 5.0  # seconds; a node asks again by then, as a low limit may have been lifted in the meantime
 _OK: Final = 200
 
 logger = logging.getLogger(__name__)
 
 
 class PermitRequest(Struct):
-    """A node asks for a permit, and tells what it knows of the limit."""
+    """Request for a permit, with what the asking node knows of the limit."""
 
     server: str
     rate: float | None
-    age: float  # seconds since the word on the limit
+    age: float  # seconds since the server sent the limit
 
 
 class PermitReply(Struct):
-    """A permit, or the seconds until there may be one, and the newest word on the limit."""
+    """A permit, or the seconds until one may be available, and the latest known limit."""
 
-    wait: float  # 0 is a permit
+    wait: float  # seconds; 0 means that the permit is granted
     rate: float | None
     age: float
 
 
 class ToldLimit(Struct, array_like=True):
-    """What a node tells others of a limit that has changed."""
+    """A changed limit, as a node reports it to others."""
 
     server: str
     rate: float | None
@@ -53,7 +53,7 @@
 
 
 class Permits:
-    """The limits that this node knows, and its permits."""
+    """Obtains permits for this node, issues permits to other nodes and exchanges rate limits with them."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         self._left_until: dict[VmId, float] = {}
 
     async def obtain(self, server: ServerId) -> bool:
-        """Get a permit for one request; without one the server is not chosen until there may be one."""
+        """Obtain a permit for one request; if refused, the server is not chosen until one may be available."""
         limit = self._limits.find(server)
         if limit is None or limit.rate is None:
             return True
@@ -90,19 +90,19 @@
         return reply.wait <= 0
 
     def forget_absent(self) -> None:
-        """Forget the servers that have left the list."""
+        """Drop the state of servers and nodes that are no longer listed."""
         self._limits.forget_absent(self._view.servers)
         self._issuer.forget_absent(self._view.servers)
         self._left_until = {vm: until for vm, until in self._left_until.items() if vm in self._view.nodes}
 
     def list_news(self) -> list[ToldLimit]:
-        """List the limits that have changed lately."""
+        """List the recently changed limits."""
         now = read_clock()
         news = self._limits.list_news(now)
         return [ToldLimit(server, limit.rate, max(0.0, now - limit.at)) for server, limit in news.items()]
 
     def take_news(self, told: Iterable[ToldLimit]) -> None:
-        """Take what another node tells; what is not sound is left out."""
+        """Apply limits that another node reported; invalid ones are ignored."""
         now = read_clock()
         for one in told:
             server = ServerId(one.server)
@@ -112,15 +112,15 @@
     def _is_sound(self, server: ServerId, rate: float | None, age: float) -> bool:
         if server in self._view.servers and age >= 0 and (rate is None or 0 < rate < math.inf):
             return True
-        logger.debug("word on a rate limit left out", extra={"server": server, "rate_limit": rate, "age": age})
+        logger.debug("reported rate limit ignored", extra={"server": server, "rate_limit": rate, "age": age})
         return False
 
     def answer(self, body: bytes) -> bytes | None:
-        """Answer another node; none when its question is not understood."""
+        """Answer a permit request of another node; None if the request is invalid."""
         try:
             asked = msgspec.json.decode(body, type=PermitRequest)
         except msgspec.DecodeError as error:
-            logger.warning("question for a permit not understood", extra={"fault": str(error)})
+            logger.warning("permit request not understood", extra={"fault": str(error)})
             return None
         server = ServerId(asked.server)
         if not self._is_sound(server, asked.rate, asked.age):
@@ -134,7 +134,7 @@
         return PermitReply(wait, newest.rate, max(0.0, read_clock() - newest.at))
 
     async def _ask(self, server: ServerId, limit: RateLimit) -> PermitReply | None:
-        """Ask the first issuer that answers."""
+        """Ask the issuers in their order until one answers."""
         nodes = self._view.nodes
         for issuer in rank_issuers(server, frozenset(nodes)):
             if issuer == self._vm:
--- a/packages/node/src/vaneturn_node/traffic/servers/reports.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/reports.py
@@ -1,4 +1,4 @@
-"""Asks servers for their reports, once for all requests that want one at about the same time."""
+"""Fetches the reports of servers; requests that need one at about the same time share a probe."""
 
 from __future__ import annotations
 
@@ -13,25 +13,24 @@
 from vaneturn_node.http1.caller import Failed
 from vaneturn_node.platform.servers import ServerCalls, ServerReport
 
-SIGN_TIME: Final = 0.06  # seconds for a sign of life; a sound server answers in 2 to 4 ms
-MAX_REPORT_AGE: Final = 30.0  # seconds
-REPORT_AGE: Final = 0.2  # seconds; reports lag by as much
-JOIN_AGE: Final = (
-    0.02  # seconds within which requests join an open question: a look of many takes no longer than of one
-)
+SIGN_TIME: Final = 0.06  # seconds until a probe times out; a healthy server answers in 2 to 4 ms
+MAX_REPORT_AGE: Final = 30.0  # seconds for which the latest report is kept
+REPORT_AGE: Final = 0.2  # seconds; the content of a report lags by about as much
+# seconds within which requests join a running probe, so that checks by many requests take no longer than by one
+JOIN_AGE: Final = 0.02
 
 
 @dataclass(slots=True)
 class _Question:
-    """A question to a server; none of its reports is there while it is open, or when whoever asked has gone."""
+    """A probe of a server; it has no report while it is running or if the task that sent it was cancelled."""
 
-    asked_at: float  # steady time
+    asked_at: float  # monotonic time
     is_over: anyio.Event = field(default_factory=anyio.Event)
     report: ServerReport | Failed | None = None
 
 
 class ReportBoard:
-    """Asks servers for their reports, once for all requests that want one at about the same time."""
+    """Probes servers for their reports and keeps the latest report of each server."""
 
     def __init__(self, calls: ServerCalls, hearing: Hearing) -> None:
         self._calls = calls
@@ -40,10 +39,10 @@
         self._open: dict[ServerId, _Question] = {}
 
     async def read(self, server: BackendServer, age: float = REPORT_AGE) -> ServerReport | Failed:
-        """Read a report that was asked for at most some seconds ago.
+        """Return a report that was requested at most `age` seconds ago, probing the server if there is none.
 
-        Only answers serve later requests. A silence does not: kept for 0.2 s and looked at every 0.1 s, one question
-        without an answer made two silences and a lost server.
+        Only received reports are reused, not timeouts. A timeout that was kept for 0.2 s and checked every 0.1 s would
+        count twice, and one unanswered probe would make the server count as lost.
         """
         now = read_clock()
         known = self._newest.get(server.id)
@@ -73,17 +72,17 @@
         return report
 
     def find(self, server: ServerId) -> ServerReport | None:
-        """Find the newest report of a server; none when it did not answer."""
+        """Return the latest report of a server; None if the latest probe failed."""
         known = self._newest.get(server)
         return known.report if known is not None and isinstance(known.report, ServerReport) else None
 
     def is_gone(self, server: ServerId) -> bool:
-        """Tell whether nobody listens at the server's address, or another one."""
+        """Check whether the latest probe found no server, or another one, at the server's address."""
         known = self._newest.get(server)
         return known is not None and isinstance(known.report, Failed) and known.report.is_gone
 
     def _forget_old(self) -> None:
-        """Forget reports that nobody can want any more, of servers that have left among them."""
+        """Drop reports too old to be used, including those of servers that have left."""
         oldest = read_clock() - MAX_REPORT_AGE
         for server in [one for one, question in self._newest.items() if question.asked_at < oldest]:
             del self._newest[server]
--- a/packages/node/src/vaneturn_node/traffic/servers/signals.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/signals.py
@@ -1,4 +1,4 @@
-"""Wakes a task that waits for news."""
+"""A signal that wakes one waiting task."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Signal:
-    """Wakes the one task that waits for it; given while nobody waits, the next wait ends at once."""
+    """Wakes the one task that waits for it; if given while no task waits, the next wait returns at once."""
 
     def __init__(self) -> None:
         self._event = anyio.Event()
@@ -16,7 +16,7 @@
         self._event.set()
 
     async def wait(self) -> None:
-        """Wait until it was given, and take it back."""
+        """Wait until the signal is given, then reset it."""
         await self._event.wait()
         self._event = anyio.Event()
 
