--- a/packages/node/src/vaneturn_node/traffic/sharing/__init__.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/__init__.py
@@ -1,1 +1,1 @@
-"""What nodes tell each other. It imports the servers room alone."""
+"""Exchange of state between nodes. Of the packages of `traffic`, it imports only `servers`."""
--- a/packages/node/src/vaneturn_node/traffic/sharing/changeclient.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changeclient.py
@@ -1,4 +1,4 @@
-"""Asks relays for changes of the store; what they tell of times is never taken for younger than it is."""
+"""Asks relays for changes of the store; state received from them never counts as more recent than it is."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 )
 from vaneturn_node.traffic.sharing.serverrows import pack_loads
 
-TELL_TIME: Final = 0.5  # seconds for a word on loads; the next one follows
+TELL_TIME: Final = 0.5  # seconds until a report of loads times out; the next report replaces a lost one
 
 
 @dataclass(frozen=True, slots=True)
 class RelayedChanges:
-    """What a relay knows after a revision."""
+    """The changes after a revision, as a relay knows them."""
 
     revision: int
     changes: list[Change]
@@ -42,14 +42,14 @@
 
 
 class NoChanges(Enum):
-    """Why a relay told nothing."""
+    """Why a relay sent no changes."""
 
-    OUT_OF_TOUCH = "out of touch"  # it answered that it does not reach the store either
-    NO_ANSWER = "no answer"  # none in time, none that is understood, or it does not keep the changes any more
+    OUT_OF_TOUCH = "out of touch"  # it answered that it cannot reach the store either
+    NO_ANSWER = "no answer"  # timeout, invalid answer, or the relay no longer keeps the changes
 
 
 class ChangeClient:
-    """Asks relays for changes."""
+    """Asks relays for changes and reports loads to them."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         self._times = times
 
     async def ask(self, address: str, since: int) -> RelayedChanges | NoChanges:
-        """Wait for changes after a revision."""
+        """Ask a relay for the changes after a revision, and wait until it has some."""
         started = read_clock()
         loads = self._beliefs.list_loads()
         body = msgspec.json.encode(self._make_word(loads))
@@ -101,7 +101,7 @@
         return RelayedChanges(word.revision, word.changes, contact)
 
     async def tell_loads(self, address: str, loads: Loads) -> None:
-        """Tell another relay what this one and those that ask it have in progress; a lost word is told anew soon."""
+        """Report the load of this relay and its followers to another relay; the next report replaces a lost one."""
         await send_word(self._caller, address, LOADS_PATH, TELL_TIME, self._make_word(loads))
 
     def _make_word(self, loads: Loads) -> ToldLoads:
--- a/packages/node/src/vaneturn_node/traffic/sharing/changelog.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changelog.py
@@ -1,4 +1,4 @@
-"""The newest changes of the store as this node has heard of them, kept for the nodes that ask it."""
+"""The latest changes of the store as this node knows them, kept for the nodes that ask it."""
 
 from __future__ import annotations
 
@@ -13,29 +13,30 @@
 from vaneturn_node.traffic.sharing.difference import MAX_VALUE_BYTES, compute_difference, compute_digest, pack, unpack
 
 KEPT_CHANGES: Final = 512  # about 0.4 KB each; a node asks again within 1.3 s
-PACKED_FROM: Final = 1024  # bytes of a value; shorter ones gain nothing by being packed
-MAX_RELAYED_BYTES: Final = 4096  # of a value as it is sent: 48 nodes take 0.26 MB, 0.1 s over a link of 20 Mbit/s;
-# of longer values the changes hold the difference from the version before, if that is no longer than this
-KEPT_BASES: Final = 4  # older versions of a long value, 0.4 MB each, for nodes that have not heard of the newest one
-BASE_TIME: Final = 5.0  # seconds for which they are kept; a node asks again within 1.8 s
+PACKED_FROM: Final = 1024  # bytes; shorter values gain nothing from compression
+# Longest value, as sent, that is included in the changes: for 48 nodes it takes 0.26 MB, 0.1 s over a 20 Mbit/s link.
+# For a longer value the difference from the previous version is sent instead, if it fits in this size.
+MAX_RELAYED_BYTES: Final = 4096
+KEPT_BASES: Final = 4  # older versions of a long value, 0.4 MB each, for nodes that do not know the latest one yet
+BASE_TIME: Final = 5.0  # seconds for which these versions are kept; a node asks again within 1.8 s
 
 
 class Change(Struct, frozen=True, omit_defaults=True):
-    """A key as it was written; without a value it was removed, or is to be made of its difference, or read whole."""
+    """A written key; without a value it was removed, or its value is to be built from the difference or read whole."""
 
     key: str
     revision: int
     value: bytes | None
-    is_left_out: bool = False  # the value is too long to be passed on whole
+    is_left_out: bool = False  # the value is too long to be included
     is_packed: bool = False  # the value is compressed
-    base: int | None = None  # revision of the version from which it differs so
+    base: int | None = None  # revision of the version that the difference applies to
     difference: bytes | None = None
-    digest: bytes = b""  # of the value that comes out
+    digest: bytes = b""  # of the value that results from applying the difference
 
     def unpack(self) -> bytes | None:
-        """Give the value as it stands in the store.
+        """Return the value as it is in the store.
 
-        :raises ValueError: it is no compressed value, or longer than the store keeps.
+        :raises ValueError: the value is not validly compressed, or longer than the store allows.
         """
         if not self.is_packed or self.value is None:
             return self.value
@@ -43,23 +44,23 @@
 
 
 class ChangeLog:
-    """Changes in the order of their revisions, the newest one of each key."""
+    """The latest change of each key, in the order of revisions."""
 
     def __init__(self) -> None:
         self._changes: dict[str, StoreItem] = {}  # by key
-        self._told: dict[str, dict[int | None, Change]] = {}  # by key and base, made when the first node asks
-        self._bases: dict[str, list[tuple[float, StoreItem]]] = {}  # by key, older long versions and when they went
+        self._told: dict[str, dict[int | None, Change]] = {}  # by key and revision of the base, made on first request
+        self._bases: dict[str, list[tuple[float, StoreItem]]] = {}  # by key, older long versions and when replaced
         self._state: dict[str, int] = {}  # the revision of each key that the store holds
-        self._long: dict[str, StoreItem] = {}  # by key, what may be too long for the changes
-        self._complete_after: int | None = None  # every change after this revision is here
+        self._long: dict[str, StoreItem] = {}  # by key, values that may be too long for the changes
+        self._complete_after: int | None = None  # every change after this revision is kept
         self.revision = 0
         self._heard = anyio.Event()
 
     def replace(self, items: Iterable[StoreItem], revision: int) -> None:
-        """Take the whole state at a revision: what differs from the state before is logged as changes.
+        """Apply the whole state at a revision; differences from the previous state are logged as changes.
 
-        Nodes that ask this one go on from where they were. When the log began anew after the store had forgotten its
-        history, each of them read the whole state from the store, with two calls.
+        This lets the nodes that ask this one continue from their revision. If the log were cleared instead, e.g. when
+        the store has dropped its history, each of them would read the whole state from the store, with two calls.
         """
         state = {item.key: item for item in items}
         if self._complete_after is None:
@@ -74,28 +75,28 @@
         self.wake()
 
     def append(self, items: Iterable[StoreItem], revision: int) -> None:
-        """Take the changes up to a revision; none when the store has only confirmed that nothing has changed."""
+        """Append the changes up to a revision; there are none if the store only confirmed that nothing has changed."""
         self._log(items)
         self._forget_bases()
         self.revision = max(self.revision, revision)
         self.wake()
 
     def list_since(self, revision: int) -> list[Change] | None:
-        """List the changes after a revision; none when some of them are not kept any more."""
+        """List the changes after a revision; None if some of them are no longer kept."""
         if self._complete_after is None or revision < self._complete_after:
             return None
         return [self._tell(item, revision) for item in self._changes.values() if item.revision > revision]
 
     def find_long(self, key: str) -> StoreItem | None:
-        """Find the newest value of a key that may be too long for the changes."""
+        """Return the latest value of a key if it may be too long for the changes."""
         return self._long.get(key)
 
     async def wait(self) -> None:
-        """Wait until the store was heard of again."""
+        """Wait for the next update or confirmation from the store, or for a failure to reach it."""
         await self._heard.wait()
 
     def wake(self) -> None:
-        """Wake those who wait: the store was heard of, or could not be reached."""
+        """Wake the waiting tasks: the store has responded, or could not be reached."""
         self._heard.set()
         self._heard = anyio.Event()
 
@@ -115,7 +116,7 @@
             self._complete_after = max(self._complete_after or 0, self._changes.pop(oldest).revision)
 
     def _keep_base(self, item: StoreItem) -> None:
-        """Keep the version that an item follows, if both are long."""
+        """Keep the version that an item replaces, if both are long."""
         old = self._long.get(item.key)
         if old is None or not _is_long(item):
             self._bases.pop(item.key, None)
@@ -129,7 +130,7 @@
             self._bases[key] = [(at, item) for at, item in kept if at > oldest]
 
     def _tell(self, item: StoreItem, since: int) -> Change:
-        """Tell an item to a node that holds what was written up to a revision."""
+        """Return an item as a change for a node that knows the state up to a revision."""
         kept = [base for _, base in self._bases.get(item.key, []) if base.revision <= since]
         base = kept[-1] if kept else None
         told = self._told.setdefault(item.key, {})
--- a/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
@@ -1,7 +1,7 @@
-"""Tells other nodes of changes of the store: a relay answers as soon as it has heard of the store again.
+"""Sends changes of the store to other nodes: a relay answers as soon as the store has responded to it again.
 
-Times travel as ages. The asker counts them from when it began to ask, plus the time that the relay held the question by
-its own clock, so that what is believed is never younger than it is.
+Times are sent as ages. The asking node counts them from the start of its request plus the time for which the relay held
+the request by its own clock, so that state never counts as more recent than it is.
 """
 
 from __future__ import annotations
@@ -34,8 +34,9 @@
 
 CHANGES_PATH: Final = "/changes"
 LOADS_PATH: Final = "/loads"
-ARRIVING_TIME: Final = 0.2  # seconds since the last bytes of the store in which its answer counts as arriving; 64 KB
-# take 0.026 s over a link of 20 Mbit/s
+# Seconds since the last bytes from the store for which its answer counts as still arriving;
+# 64 KB take 0.026 s over a 20 Mbit/s link.
+ARRIVING_TIME: Final = 0.2
 _GONE: Final = 410
 OUT_OF_TOUCH: Final = 503
 _JSON: Final = [(b"content-type", b"application/json")]
@@ -68,14 +69,14 @@
         self._asked_at = float("-inf")
         self._packed = b""  # the loads of all nodes
         self._packed_at = float("-inf")
-        self.arrival = Arrival(BODY_TIME, SILENCE)  # of the store's answers to this node's watch
+        self.arrival = Arrival(BODY_TIME, SILENCE)  # progress of the store's answers to this node's watch
 
     def is_asked(self) -> bool:
-        """Tell whether nodes ask this one."""
+        """Check whether other nodes ask this one for changes."""
         return read_clock() - self._asked_at < 2 * self._times.hold
 
     async def answer(self, request: ClientRequest, answer: ClientAnswer) -> None:
-        """Answer with the changes after a revision, or with a long value."""
+        """Handle a request of another node: for changes, a long value or a permit, or with a report."""
         query = parse_qs(request.target.partition("?")[2])
         if request.path == VALUE_PATH:
             await self._long_values.answer(query.get("key", [""])[0], answer)
@@ -109,12 +110,12 @@
         await self._answer_changes(int(since), request.arrived, answer)
 
     async def _answer_changes(self, since: int, arrived: float, answer: ClientAnswer) -> None:
-        """Answer as soon as there are changes, a newer confirmation that there are none, a loss, or trouble."""
+        """Answer once there are changes, a newer confirmation that there are none, a loss, or a store failure."""
         self._asked_at = read_clock()
         losses = self._losses.version
         confirmed_at = self._view.contact.confirmed_at
         is_heard = await self._hear(since, confirmed_at, losses, self._times.hold)
-        if not is_heard and self._is_arriving():  # the answer of the store is late because it is long
+        if not is_heard and self._is_arriving():  # the store's answer is late because it is long
             is_heard = await self._hear(since, confirmed_at, losses, self._times.hold_arriving - self._times.hold)
         changes = self._log.list_since(since)
         if changes is None:
@@ -139,7 +140,7 @@
         await answer.send_whole(OK, _JSON, msgspec.json.encode(word))
 
     async def _hear(self, since: int, confirmed_at: float, losses: int, limit: float) -> bool:
-        """Wait until there is something to tell; false when there was nothing in time."""
+        """Wait until there is news to send; return False on timeout."""
         with anyio.move_on_after(limit):
             while self._log.list_since(since) == [] and not self._has_news(confirmed_at, losses):
                 await self._log.wait()
@@ -150,9 +151,9 @@
         return read_clock() - self.arrival.at < ARRIVING_TIME
 
     def _has_news(self, confirmed_at: float, losses: int) -> bool:
-        """Tell whether there is a newer confirmation, trouble, or a loss beside a word that the asker may still take.
+        """Check for a newer confirmation, a store failure, or a loss while the state is recent enough for the asker.
 
-        A loss told beside a word that was 1.9 s old made 49 nodes leave both relays at once.
+        A loss sent with state that was 1.9 s old, too old to accept, made 49 nodes leave both relays at once.
         """
         contact = self._view.contact
         is_fresh = self._view.age < self._times.hold_arriving
@@ -163,7 +164,7 @@
         )
 
     def _pack_all(self, now: float) -> bytes:
-        """Pack the loads of all nodes, once for all that are answered at about the same time."""
+        """Pack the loads of all nodes; answers sent at about the same time share the result."""
         if now - self._packed_at >= SUM_AGE:
             self._packed = pack_loads(self._board.sum_all(self._beliefs.list_loads()))
             self._packed_at = now
--- a/packages/node/src/vaneturn_node/traffic/sharing/crashsharing.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/crashsharing.py
@@ -1,8 +1,8 @@
-"""Nodes tell each other which requests had just begun on servers that ended: at once, over the relays.
+"""Exchanges reports of crashed servers and the requests that had just begun on them, over the relays.
 
-A client whose request has ended a server is back within 0.1 s, at any node. The word is therefore pushed on as soon as
-it comes, also while the store is away; questions to a relay carry a checksum, so that a node that was frozen, cut off
-or started anew gets what it lacks with its next one.
+A client whose request crashed a server retries within 0.1 s, at any node. Reports are therefore pushed at once, even
+while the store is unavailable. Requests to a relay carry a checksum, so that a node that was frozen, disconnected or
+restarted gets the missing reports after its next request.
 """
 
 from __future__ import annotations
@@ -26,17 +26,18 @@
 from vaneturn_node.traffic.sharing.peerwords import send_word
 
 CRASHES_PATH: Final = "/crashes"
-GATHER: Final = 0.01  # seconds from a change to the word of it: requests on one server find its end together
-TELL_GAP: Final = 0.1  # seconds between two words of a node
-TELL_TIME: Final = 0.3  # seconds for a word; checksums show when it was lost
-TELL_AGAIN: Final = 2.0  # seconds until a node that still knows something else is told the same again: with more ends
-# than are kept, two nodes may never know the same
+GATHER: Final = 0.01  # seconds from a change to its report; all requests on a server notice its crash together
+TELL_GAP: Final = 0.1  # seconds between two reports of a node
+TELL_TIME: Final = 0.3  # seconds until a report times out; checksums reveal lost reports
+# Seconds until the same report is sent again to a node with a different checksum. If there are more crashes than are
+# kept, the checksums of two nodes may never agree.
+TELL_AGAIN: Final = 2.0
 
 logger = logging.getLogger(__name__)
 
 
 class EndRow(Struct, array_like=True):
-    """The end of a server, as it travels."""
+    """The crash of a server, as sent between nodes."""
 
     server: str
     age: float  # seconds
@@ -45,15 +46,15 @@
 
 
 class CrashWord(Struct):
-    """All that a node knows of ends."""
+    """All crashes that a node knows of."""
 
     vm: VmId
-    check: int  # of what it knows
+    check: int  # checksum of the crashes
     ends: list[EndRow]
 
 
 class CrashSharing:
-    """One task, and what the words of others do to this node."""
+    """Sends crash reports to other nodes from one task, and handles theirs."""
 
     def __init__(self, vm: VmId, board: CrashBoard, view: PlatformView, caller: Caller) -> None:
         self._vm = vm
@@ -61,18 +62,18 @@
         self._view = view
         self._caller = caller
         self._has_news = Signal()
-        self._told = board.check  # what those that this node tells know from it
-        self._behind: set[VmId] = set()  # nodes that know something else
-        self._answered: dict[VmId, tuple[int, int, float]] = {}  # both checksums, and when the node was told for them
+        self._told = board.check  # checksum of what this node has reported
+        self._behind: set[VmId] = set()  # nodes whose checksum differs
+        self._answered: dict[VmId, tuple[int, int, float]] = {}  # their checksum, the own one, time of the report
         board.listeners.append(self._has_news.give)
 
     @property
     def check(self) -> int:
-        """Give a checksum of what this node knows."""
+        """Checksum of the crashes that this node knows of."""
         return self._board.check
 
     async def run(self) -> None:
-        """Tell until cancelled."""
+        """Send reports until cancelled."""
         while True:
             await self._has_news.wait()
             await anyio.sleep(GATHER)
@@ -80,7 +81,7 @@
             await anyio.sleep(TELL_GAP)
 
     def compare(self, vm: VmId, check: int) -> None:
-        """Compare with what another node knows; it is told what this one knows when that differs."""
+        """Compare the checksum of another node with the own one; if they differ, send a report to that node."""
         own, now = self._board.check, read_clock()
         if check == own:
             return
@@ -93,17 +94,17 @@
         self._has_news.give()
 
     def take(self, body: bytes) -> None:
-        """Take the word of another node."""
+        """Handle the report of another node."""
         try:
             word = msgspec.json.decode(body, type=CrashWord)
             ends = unpack_ends(word.ends, read_clock())
         except (msgspec.DecodeError, ValueError) as error:
-            logger.warning("word on ended servers not understood", extra={"fault": str(error)})
+            logger.warning("report of crashed servers not understood", extra={"fault": str(error)})
             return
         if self._board.join(ends):
             logger.info("ended servers told", extra={"servers": sorted(ends), "teller": word.vm})
             if self._vm not in list_relays(self._view.nodes):
-                self._told = self._board.check  # its relay has told it
+                self._told = self._board.check  # received from its relay, which needs no report of it
         self.compare(word.vm, word.check)
 
     async def _tell(self) -> None:
@@ -118,7 +119,7 @@
                     tasks.start_soon(send_word, self._caller, address, CRASHES_PATH, TELL_TIME, word)
 
     def _list_targets(self) -> set[VmId]:
-        """List whom to tell: the own relay, or as a relay the other relays and all that ask this one."""
+        """List the nodes to report to: its own relay or, on a relay, the other relays and its followers."""
         nodes = self._view.nodes
         ranked = rank_relays(self._vm, nodes)
         if ranked:
@@ -128,7 +129,7 @@
 
 
 def pack_ends(ends: dict[ServerId, ServerEnd], now: float) -> list[EndRow]:
-    """Pack ends with their ages."""
+    """Pack crashes with their ages."""
     return [
         EndRow(server, round(now - end.at, 3), end.software, [(one, int(word)) for one, word in end.suspects.items()])
         for server, end in ends.items()
@@ -136,9 +137,9 @@
 
 
 def unpack_ends(rows: list[EndRow], now: float) -> dict[ServerId, ServerEnd]:
-    """Unpack ends that have their ages at a steady time.
+    """Unpack crashes whose ages count from a monotonic time.
 
-    :raises ValueError: a row holds no such suspicion.
+    :raises ValueError: a row contains an unknown suspicion.
     """
     return {
         ServerId(row.server): ServerEnd(
--- a/packages/node/src/vaneturn_node/traffic/sharing/difference.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/difference.py
@@ -1,4 +1,4 @@
-"""Long values packed, and as the difference from an older version: whole pieces of the text, in linear time."""
+"""Compression of long values, and differences between versions, computed over pieces of the text in linear time."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 import msgspec
 
-MAX_VALUE_BYTES: Final = 1 << 20  # that the store keeps for a key
-PACKED_LEVEL: Final = 1  # of zlib; 0.4 MB of routes take 3 ms, and 6 ms for a sixth less with level 6
-CUT: Final = b"}"  # ends a route, and each other part that operators change by itself
+MAX_VALUE_BYTES: Final = 1 << 20  # longest value that the store keeps
+PACKED_LEVEL: Final = 1  # of zlib; 0.4 MB of routes take 3 ms; level 6 takes 6 ms and saves only a sixth of the size
+CUT: Final = b"}"  # ends a route, and each other part that operators change on its own
 
-_Step = tuple[int, int] | bytes  # first piece of the base and how many follow it, or new text
+_Step = tuple[int, int] | bytes  # index of the first piece in the base and number of pieces, or new text
 
 
 def pack(value: bytes) -> bytes:
@@ -21,9 +21,9 @@
 
 
 def unpack(packed: bytes) -> bytes:
-    """Give the value that was compressed.
+    """Decompress a value.
 
-    :raises ValueError: it is no compressed value, or longer than the store keeps.
+    :raises ValueError: the value is not validly compressed, or longer than the store allows.
     """
     unpacker = zlib.decompressobj()
     try:
@@ -31,17 +31,17 @@
     except zlib.error as error:
         raise ValueError(f"not a compressed value: {error}") from error
     if not unpacker.eof:
-        raise ValueError(f"a value over {MAX_VALUE_BYTES} bytes, or not all of it")
+        raise ValueError(f"compressed value is truncated or exceeds {MAX_VALUE_BYTES} bytes")
     return value
 
 
 def compute_digest(value: bytes) -> bytes:
-    """Compute what tells whether a value came out right."""
+    """Compute the digest that verifies a value built from a difference."""
     return hashlib.blake2b(value, digest_size=8).digest()
 
 
 def compute_difference(base: bytes, value: bytes) -> bytes:
-    """Compute the packed difference of a value from another."""
+    """Compute the compressed difference of a value from a base."""
     old = base.split(CUT)
     first = {piece: number for number, piece in reversed(list(enumerate(old)))}
     steps: list[_Step] = []
@@ -55,9 +55,9 @@
 
 
 def apply_difference(base: bytes, difference: bytes, digest: bytes) -> bytes:
-    """Give the value that differs so from the base.
+    """Apply a difference to its base.
 
-    :raises ValueError: the difference is not understood, or does not give the value that it was made for.
+    :raises ValueError: the difference is invalid, or the result does not match the digest.
     """
     try:
         steps = msgspec.msgpack.decode(unpack(difference), type=list[_Step])
@@ -70,17 +70,17 @@
         part = step if isinstance(step, bytes) else _copy(old, *step, room)
         room -= len(part)
         if room < 0:
-            raise ValueError(f"a value over {MAX_VALUE_BYTES} bytes")
+            raise ValueError(f"value exceeds {MAX_VALUE_BYTES} bytes")
         parts.append(part)
     value = CUT.join(parts)
     if compute_digest(value) != digest:
-        raise ValueError("not the value that the difference was made for")
+        raise ValueError("result of the difference does not match its digest")
     return value
 
 
 def _copy(old: list[bytes], first: int, count: int, room: int) -> bytes:
     if first < 0 or not 0 < count <= min(len(old) - first, room + 1):
-        raise ValueError("a difference from another base")
+        raise ValueError("difference refers to pieces that its base does not have")
     return CUT.join(old[first : first + count])
 
 
--- a/packages/node/src/vaneturn_node/traffic/sharing/loadsharing.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/loadsharing.py
@@ -1,4 +1,4 @@
-"""Relays tell each other what they and the nodes that ask them have in progress on each server."""
+"""Relays report the loads of servers by themselves and their followers to each other."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.traffic.sharing.changeclient import ChangeClient
 
-SHARE_TIME: Final = 0.6  # seconds between two words of a relay; followers tell theirs each 0.8 s
+SHARE_TIME: Final = 0.6  # seconds between two reports of a relay; followers send theirs every 0.8 s
 
 
 class LoadSharing:
-    """One task; it does something on relays only."""
+    """Reports loads to the other relays; does nothing on nodes that are not relays."""
 
     def __init__(
         self, *, vm: VmId, view: PlatformView, beliefs: ServerBeliefs, board: LoadBoard, peers: ChangeClient
@@ -29,7 +29,7 @@
         self._peers = peers
 
     async def run(self) -> None:
-        """Tell the other relays until cancelled."""
+        """Send reports to the other relays until cancelled."""
         while True:
             await anyio.sleep(SHARE_TIME)
             relays = list_relays(self._view.nodes)
--- a/packages/node/src/vaneturn_node/traffic/sharing/longvalues.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/longvalues.py
@@ -1,4 +1,4 @@
-"""Long values that did not come with the changes: a relay gives them whole and packed, one after the other."""
+"""Transfer of long values that the changes do not include: a relay sends them compressed, one after the other."""
 
 from __future__ import annotations
 
@@ -23,10 +23,11 @@
 from vaneturn_node.traffic.sharing.peerwords import OK
 
 VALUE_PATH: Final = "/value"
-VALUE_RATE: Final = 2_000_000.0  # bytes a second that a relay gives: four fifths of a link of 20 Mbit/s
-LONGEST_TURN: Final = 0.6  # seconds that an asker waits for its turn: 29 values of 41 KB; the others ask elsewhere
+VALUE_RATE: Final = 2_000_000.0  # bytes per second that a relay sends: four fifths of a 20 Mbit/s link
+# Longest wait of a node for its turn, in seconds. It suffices for 29 values of 41 KB; other nodes ask elsewhere.
+LONGEST_TURN: Final = 0.6
 ASK_TIME: Final = 0.8  # seconds for one relay
-RELAYS_TIME: Final = 1.0  # seconds for all relays; the store takes 0.5 s, and the shortest bound is 2 s
+RELAYS_TIME: Final = 1.0  # seconds for all relays; the store takes another 0.5 s, and the shortest bound is 2 s
 _BUSY: Final = 503
 
 logger = logging.getLogger(__name__)
@@ -40,15 +41,15 @@
 
 
 class LongValueServer:
-    """Gives long values at no more than a rate, so that a relay's own streams pass beside them."""
+    """Sends long values at a limited rate, which leaves bandwidth for the relay's own streams."""
 
     def __init__(self, log: ChangeLog) -> None:
         self._log = log
-        self._packed: dict[str, tuple[StoreItem, bytes]] = {}  # the newest by key, made when the first node asks
-        self._free_at = 0.0  # when all that are waiting have had their turn
+        self._packed: dict[str, tuple[StoreItem, bytes]] = {}  # the latest by key, made on first request
+        self._free_at = 0.0  # when all waiting nodes will have been served
 
     async def answer(self, key: str, answer: ClientAnswer) -> None:
-        """Answer with a value when its turn has come, or at once that this would take too long."""
+        """Send a value when its turn has come, or refuse at once if the wait would be too long."""
         item = self._log.find_long(key)
         if item is None or item.value is None:
             await answer.send_whole(404, [], b"")
@@ -71,7 +72,7 @@
 
 
 class LongValueReader:
-    """Makes long values from differences, or asks relays and then the store for them."""
+    """Builds long values from differences, or fetches them from relays or else from the store."""
 
     def __init__(self, *, vm: VmId, store: PlatformStore, view: PlatformView, log: ChangeLog, caller: Caller) -> None:
         self._vm = vm
@@ -81,7 +82,7 @@
         self._caller = caller
 
     async def read(self, change: Change, address: str) -> StoreItem | None:
-        """Read the value of a change, and log what it takes of this VM's link when it is read whole."""
+        """Return the value of a change; if it has to be fetched whole, log its size and how long that took."""
         item = self._rebuild(change)
         if item is not None:
             return item
@@ -106,7 +107,7 @@
         try:
             value = apply_difference(base.value, change.difference, change.digest)
         except ValueError as error:
-            logger.warning("value of a relay not understood", extra={"key": change.key, "fault": str(error)})
+            logger.warning("difference from a relay not understood", extra={"key": change.key, "fault": str(error)})
             return None
         return StoreItem(change.key, value, change.revision)
 
@@ -134,7 +135,7 @@
             found = msgspec.msgpack.decode(reply.body, type=PackedValue)
             return StoreItem(key, unpack(found.packed), found.revision)
         except (ValueError, msgspec.DecodeError) as error:
-            logger.warning("value of a relay not understood", extra={"key": key, "fault": str(error)})
+            logger.warning("value from a relay not understood", extra={"key": key, "fault": str(error)})
             return None
 
 
--- a/packages/node/src/vaneturn_node/traffic/sharing/losssharing.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/losssharing.py
@@ -1,4 +1,4 @@
-"""Nodes tell each other which servers they have found lost: at once to a relay, which tells all others."""
+"""Exchanges reports of lost servers: a node reports to its relay at once, and the relay informs all others."""
 
 from __future__ import annotations
 
@@ -21,38 +21,38 @@
 from vaneturn_node.traffic.sharing.serverrows import pack_findings, unpack_findings
 
 LOSSES_PATH: Final = "/losses"
-GATHER: Final = 0.02  # seconds from a finding to the word of it: requests over one server find its loss together
-TELL_GAP: Final = 0.3  # seconds between two words of a node: a sixth of the servers lost is found in about that time
-TELL_TIME: Final = 0.3  # seconds for a word; what it tells is over soon
+GATHER: Final = 0.02  # seconds from a finding to its report; all requests on a server notice its loss together
+TELL_GAP: Final = 0.3  # seconds between two reports of a node; finding a loss of a sixth of the servers takes as long
+TELL_TIME: Final = 0.3  # seconds until a report times out; its content is soon out of date
 
 logger = logging.getLogger(__name__)
 
 
 class LossWord(Struct):
-    """What a node has found, or a relay with those that ask it."""
+    """Losses found by a node, or by a relay and its followers."""
 
     vm: VmId
     findings: bytes  # packed
 
 
 class LossSharing:
-    """One task, and what the words of others do to the beliefs of this node."""
+    """Sends reports of losses from one task, and applies those of other nodes to the status of servers."""
 
     def __init__(self, vm: VmId, parts: TrafficParts, caller: Caller, log: ChangeLog) -> None:
         self._vm = vm
         self._parts = parts
         self._caller = caller
         self._log = log
-        self._has_told = False  # findings that are to be taken back when there are none any more
-        self._adopted: dict[ServerId, float] = {}  # what the newest word of others made this node leave alone
+        self._has_told = False  # findings that must be withdrawn once there are none left
+        self._adopted: dict[ServerId, float] = {}  # servers avoided because of the latest report, and until when
 
     @property
     def version(self) -> int:
-        """Rises when a loss was confirmed."""
+        """Counter that rises whenever a loss is confirmed."""
         return self._parts.losses.version
 
     async def run(self) -> None:
-        """Tell what is found until cancelled."""
+        """Report the losses found by this node until cancelled."""
         while True:
             await self._parts.loss_found.wait()
             await anyio.sleep(GATHER)
@@ -60,12 +60,12 @@
             await anyio.sleep(TELL_GAP)
 
     def take(self, body: bytes) -> None:
-        """Take the word of another node; a relay passes on what its followers tell."""
+        """Handle the report of another node; a relay forwards the reports of its followers."""
         try:
             word = msgspec.json.decode(body, type=LossWord)
             findings = unpack_findings(word.findings, self._parts.view.servers, read_clock())
         except (msgspec.DecodeError, ValueError) as error:
-            logger.warning("word on losses not understood", extra={"fault": str(error)})
+            logger.warning("report of losses not understood", extra={"fault": str(error)})
             return
         before = self.version
         if word.vm in list_relays(self._parts.view.nodes):
@@ -75,26 +75,26 @@
             self._parts.loss_found.give()
         if self.version != before:
             self._adopt(self._parts.losses.list_confirmed(self._list_own()), word.vm)
-            self._log.wake()  # nodes that ask this one are told now
+            self._log.wake()  # answers the followers that are waiting for changes
 
     def pack_confirmed(self, now: float) -> bytes:
-        """Pack what two nodes or more have found, for the nodes that ask this one."""
+        """Pack the losses found by two or more nodes, for the followers of this node."""
         confirmed = self._parts.losses.list_confirmed(self._list_own())
         return pack_findings({server: Finding(until) for server, until in confirmed.items()}, now)
 
     def take_confirmed(self, data: bytes, relay: str) -> None:
-        """Take what a relay says that two nodes or more have found."""
+        """Apply the losses that two or more nodes have found, as reported by a relay."""
         try:
             findings = unpack_findings(data, self._parts.view.servers, read_clock())
         except ValueError as error:
-            logger.warning("losses of a relay not understood", extra={"fault": str(error)})
+            logger.warning("losses from a relay not understood", extra={"fault": str(error)})
             return
         self._adopt({server: finding.latest for server, finding in findings.items()}, relay)
 
     def _adopt(self, confirmed: dict[ServerId, float], teller: str) -> None:
         now = read_clock()
         beliefs = self._parts.beliefs
-        for server in self._adopted.keys() - confirmed.keys():  # who found it has heard of it again
+        for server in self._adopted.keys() - confirmed.keys():  # it has responded again to the nodes that reported it
             if beliefs[server].told_until == self._adopted[server]:
                 beliefs[server].told_until = float("-inf")
         self._adopted = dict(confirmed)
--- a/packages/node/src/vaneturn_node/traffic/sharing/peerwords.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/peerwords.py
@@ -1,4 +1,4 @@
-"""What nodes say to each other along the way of the relays, and how it is read."""
+"""Messages between nodes and relays, and their decoding."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
 
 
 class ToldLoads(Struct):
-    """What a node has in progress, or a relay with those that ask it."""
+    """The load on servers by a node, or by a relay and its followers."""
 
     vm: VmId
     loads: bytes  # packed
-    crashes: int = 0  # checksum of what it knows of servers that ended
-    limits: list[ToldLimit] = []  # rate limits of servers that have changed lately
+    crashes: int = 0  # checksum of the crashes that the node knows of
+    limits: list[ToldLimit] = []  # recently changed rate limits of servers
 
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """What a node has told."""
+    """The decoded message of a node."""
 
     vm: VmId
     loads: Loads
@@ -45,7 +45,7 @@
 
 
 class RelayWord(Struct):
-    """An answer of a relay; ages in seconds, none for what never was."""
+    """An answer of a relay; ages are in seconds, None for events that never occurred."""
 
     revision: int
     changes: list[Change]
@@ -54,41 +54,41 @@
     failed_age: float | None
     returned_age: float | None
     loads: bytes = b""  # of all nodes, packed
-    losses: bytes = b""  # servers that two nodes or more have found lost, packed
-    limits: list[ToldLimit] = []  # rate limits of servers that have changed lately
+    losses: bytes = b""  # servers that two or more nodes have found lost, packed
+    limits: list[ToldLimit] = []  # recently changed rate limits of servers
 
 
 async def send_word(caller: Caller, address: str, path: str, limit: float, word: Struct) -> None:
-    """Send a word to another node; a lost one is made good by later words."""
+    """Send a message to another node; a lost message is not retried, because later ones replace it."""
     reply = await caller.call(address, "POST", path, limit, body=msgspec.json.encode(word))
     if not isinstance(reply, Reply):
-        logger.debug("word not sent", extra={"node": address, "path": path, "cause": reply.cause})
+        logger.debug("message not sent", extra={"node": address, "path": path, "cause": reply.cause})
 
 
 def decode_reply(reply: Reply | Failed, kind: type[_Body]) -> _Body | None:
-    """Decode what a relay gave; none when it gave nothing that is understood."""
+    """Decode the answer of a relay; None if the call failed or the answer is invalid."""
     if not isinstance(reply, Reply) or reply.status != OK:
         return None
     try:
         return msgspec.json.decode(reply.body, type=kind)
     except msgspec.DecodeError as error:
-        logger.warning("answer of a relay not understood", extra={"fault": str(error)})
+        logger.warning("answer from a relay not understood", extra={"fault": str(error)})
         return None
 
 
 def decode_told(body: bytes, known: Iterable[ServerId]) -> Told | None:
-    """Decode who told what; none when nothing was told, or it was not understood."""
+    """Decode the message of a node; None if the body is empty or invalid."""
     try:
         told = msgspec.json.decode(body, type=ToldLoads) if body else None
     except msgspec.DecodeError as error:
-        logger.warning("word on loads not understood", extra={"fault": str(error)})
+        logger.warning("report of loads not understood", extra={"fault": str(error)})
         return None
     loads = unpack_total(told.loads, known) if told is not None else None
     return Told(told.vm, loads, told.crashes, told.limits) if told is not None and loads is not None else None
 
 
 def unpack_total(data: bytes, known: Iterable[ServerId]) -> Loads | None:
-    """Unpack loads; none when they were not understood."""
+    """Unpack loads; None if they are invalid."""
     try:
         return unpack_loads(data, known)
     except ValueError as error:
--- a/packages/node/src/vaneturn_node/traffic/sharing/serverrows.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/serverrows.py
@@ -1,6 +1,6 @@
-"""What nodes tell each other of servers: eight bytes for each, a checksum of its id and two figures.
+"""Compact rows about servers in messages between nodes: a checksum of the server's id and two numbers in eight bytes.
 
-An answer to a node on 190 servers takes 2.0 KB in place of 5.5 KB with ids and figures in JSON.
+An answer about 190 servers takes 2.0 KB this way, and 5.5 KB with ids and numbers in JSON.
 """
 
 from __future__ import annotations
@@ -13,27 +13,27 @@
 from vaneturn_core.traffic.losses import Finding, Findings
 from vaneturn_core.traffic.servers import ServerId, ServerLoad
 
-RESERVED_UNIT: Final = 64.0  # tokens times layers; a request takes 9,000 on a server with nine layers
+RESERVED_UNIT: Final = 64.0  # tokens times layers; a request reserves 9,000 on a server with nine layers
 REST_UNIT: Final = 0.001  # seconds
 _ROW: Final = struct.Struct(">IHH")
 _MOST: Final = 0xFFFF
 
 
 def pack_loads(loads: Mapping[ServerId, ServerLoad]) -> bytes:
-    """Pack loads; figures beyond a row's range count as the largest in it."""
+    """Pack loads; numbers beyond the range of a row are clamped to it."""
     return b"".join(_pack(server, load.leading, load.reserved / RESERVED_UNIT) for server, load in loads.items())
 
 
 def unpack_loads(data: bytes, known: Iterable[ServerId]) -> dict[ServerId, ServerLoad]:
-    """Unpack loads; of servers that are not known here nothing is taken.
+    """Unpack loads; rows of unknown servers are skipped.
 
-    :raises ValueError: the bytes are no rows.
+    :raises ValueError: the length is not a multiple of the row size.
     """
     return {server: ServerLoad(one, other * RESERVED_UNIT) for server, one, other in _unpack(data, known)}
 
 
 def pack_findings(findings: Findings, now: float) -> bytes:
-    """Pack the rests of servers that were found lost, as they are left at a steady time."""
+    """Pack the remaining backoff of lost servers, counted from a monotonic time."""
     return b"".join(
         _pack(server, (finding.latest - now) / REST_UNIT, (finding.second - now) / REST_UNIT)
         for server, finding in findings.items()
@@ -41,9 +41,9 @@
 
 
 def unpack_findings(data: bytes, known: Iterable[ServerId], now: float) -> dict[ServerId, Finding]:
-    """Unpack rests that begin at a steady time.
+    """Unpack the remaining backoff of lost servers, counted from a monotonic time.
 
-    :raises ValueError: the bytes are no rows.
+    :raises ValueError: the length is not a multiple of the row size.
     """
     return {
         server: Finding(now + one * REST_UNIT, now + other * REST_UNIT if other else float("-inf"))
@@ -57,7 +57,7 @@
 
 def _unpack(data: bytes, known: Iterable[ServerId]) -> Iterator[tuple[ServerId, int, int]]:
     if len(data) % _ROW.size:
-        raise ValueError(f"{len(data)} bytes are no rows of {_ROW.size}")
+        raise ValueError(f"{len(data)} bytes are not a multiple of the row size {_ROW.size}")
     servers = {_check(server): server for server in known}
     for check, one, other in _ROW.iter_unpack(data):
         if check in servers:
--- a/tests/node/traffic/sharing/test_changelog.py
+++ b/tests/node/traffic/sharing/test_changelog.py
@@ -93,7 +93,7 @@
 
 
 def test_packed_value_that_is_too_long_is_not_taken() -> None:
-    with pytest.raises(ValueError, match="over"):
+    with pytest.raises(ValueError, match="exceeds"):
         Change("config", 1, zlib.compress(b"x" * (MAX_VALUE_BYTES + 1)), is_packed=True).unpack()
 
 
--- a/tests/node/traffic/sharing/test_difference.py
+++ b/tests/node/traffic/sharing/test_difference.py
@@ -68,16 +68,16 @@
     ids=["before", "none", "after", "behind", "backwards", "too long"],
 )
 def test_difference_from_another_base_is_not_taken(steps: list[tuple[int, int]]) -> None:
-    with pytest.raises(ValueError, match=r"base|over"):
+    with pytest.raises(ValueError, match=r"base|exceeds"):
         apply_difference(b"a}b}c", pack(msgspec.msgpack.encode(steps)), b"12345678")
 
 
 def test_other_value_than_was_meant_is_not_taken() -> None:
     difference = compute_difference(b"a}b}c", b"a}c")
-    with pytest.raises(ValueError, match="made for"):
+    with pytest.raises(ValueError, match="does not match its digest"):
         apply_difference(b"a}b}d", difference, compute_digest(b"a}c"))
 
 
 def test_too_long_value_is_not_unpacked() -> None:
-    with pytest.raises(ValueError, match="over"):
+    with pytest.raises(ValueError, match="exceeds"):
         unpack(zlib.compress(b"x" * (MAX_VALUE_BYTES + 1)))
--- a/tests/node/traffic/sharing/test_serverrows.py
+++ b/tests/node/traffic/sharing/test_serverrows.py
@@ -40,7 +40,7 @@
 
 
 def test_bytes_that_are_no_rows_are_refused() -> None:
-    with pytest.raises(ValueError, match="no rows"):
+    with pytest.raises(ValueError, match="not a multiple of the row size"):
         unpack_loads(b"1234567", SERVERS)
 
 
