--- a/packages/node/src/vaneturn_node/traffic/following/__init__.py
+++ b/packages/node/src/vaneturn_node/traffic/following/__init__.py
@@ -1,1 +1,1 @@
-"""What the store holds, brought to the view of a node. It imports the rooms sharing, duties and servers."""
+"""Keeps a node's view up to date with the store. Of `traffic`, it imports only `sharing`, `duties` and `servers`."""
--- a/packages/node/src/vaneturn_node/traffic/following/follower.py
+++ b/packages/node/src/vaneturn_node/traffic/following/follower.py
@@ -1,4 +1,4 @@
-"""Follows the store: by one watch over all of it, or by a relay, a node that watches it for others."""
+"""Follows the store with one watch over all keys, or through a relay, a node that watches it for others."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 from vaneturn_node.traffic.sharing.changeserver import ChangeServer
 from vaneturn_node.traffic.sharing.longvalues import LongValueReader
 
-WATCH_TIME: Final = 1.6  # seconds; each answer confirms the keys, which are valid for a few seconds
+WATCH_TIME: Final = 1.6  # seconds; each answer confirms the API keys, which stay valid for a few seconds
 SHORTEST_WATCH: Final = 0.2  # seconds
-MAX_RELAYS: Final = 4  # asked one after the other before the store, while they say at once that they are out of touch
-AT_ONCE: Final = 0.1  # seconds to such a word; a relay that holds a question in vain takes longer
+MAX_RELAYS: Final = 4  # asked in turn before the store, as long as each answers at once that it is out of touch
+AT_ONCE: Final = 0.1  # seconds; answers within this time count as "at once", a relay that waited for news takes longer
 RELAY_REST: Final = 4.0  # seconds for which a relay that failed is not asked
 EVERYTHING: Final = ""
 
@@ -32,7 +32,7 @@
 
 
 class StoreFollower:
-    """Brings what the store holds to the view of a node, and to its log for other nodes."""
+    """Applies the state of the store to the view of a node, and to its change log for other nodes."""
 
     def __init__(
         self,
@@ -60,12 +60,12 @@
         self._first_reading = first_reading
         self._revision: int | None = None
         self._is_reached = False
-        self._cause = ""  # of the newest failure
+        self._cause = ""  # of the latest failure
         self._failures = 0  # in a row
         self._rests: dict[VmId, float] = {}  # relays that failed, and until when they are not asked
-        self._out_of_touch: set[VmId] = set()  # relays that said so last
-        self._direct_from = float("-inf")  # until when the store is left to the relays
-        self.followed: VmId | None = None  # the relay that answered last; none when the store did
+        self._out_of_touch: set[VmId] = set()  # relays whose latest answer was that they cannot reach the store
+        self._direct_from = float("-inf")  # until then only the relays ask the store
+        self.followed: VmId | None = None  # the relay that answered last; None if it was the store
 
     async def run(self) -> None:
         """Follow the store until cancelled."""
@@ -76,7 +76,7 @@
             self._keeper.forget_lapsed()
             if not is_answered:
                 self._view.note_failure()
-                self._log.wake()  # those who ask this node go to the store before its word is out of date
+                self._log.wake()  # lets followers turn to the store before the state they got from here is too old
                 await anyio.sleep(draw_retry(self._failures))
                 self._failures += 1
             else:
@@ -92,7 +92,7 @@
                 logger.info("store lost", extra=extra | {"cause": self._cause})
 
     async def _ask(self) -> bool:
-        """Ask a relay, or the store when none is in touch; false when nobody answered, or only relays are to ask."""
+        """Ask a relay, or the store if no relay is in touch; False if none answered or only relays may be asked now."""
         if self._revision is None:
             return await self._reload()
         relay = None
@@ -103,7 +103,7 @@
             asked_at = read_clock()
             if await self._ask_relay(relay, self._revision):
                 return True
-            if read_clock() - asked_at > AT_ONCE:  # nothing was heard meanwhile
+            if read_clock() - asked_at > AT_ONCE:  # time was lost without an answer, so ask the store now
                 break
         self._note_followed(None, lost=relay)
         if read_clock() < self._direct_from:
@@ -114,7 +114,7 @@
         return is_answered
 
     def _leave_to_relays(self) -> None:
-        """Leave the store, which is away for the relays as well, to them for a while, and ask them soon."""
+        """Ask only the relays for a while, and soon again, because they cannot reach the store either."""
         now = read_clock()
         self._direct_from = now + draw_direct_retry(self._view.count_nodes(), self._times.bound)
         self._rests.update(dict.fromkeys(self._out_of_touch, now + RELAY_RETRY))
@@ -144,7 +144,7 @@
         return True
 
     def _leave(self, relay: VmId, *, is_out_of_touch: bool) -> None:
-        """Leave a relay alone for a while; in an outage for all it answers at once, and is asked again soon."""
+        """Stop asking a relay for a while; only briefly in an outage for all nodes, in which it answers at once."""
         now = read_clock()
         is_outage = is_out_of_touch and now < self._direct_from
         self._rests = {one: until for one, until in self._rests.items() if one in self._view.nodes}
@@ -155,7 +155,7 @@
             self._out_of_touch.discard(relay)
 
     async def _complete(self, changes: list[Change], address: str) -> list[StoreItem] | None:
-        """Make or read the values that were too long to be passed on; none when one of them is nowhere to be had."""
+        """Obtain the values that were too long to be included; return None if one of them is not available."""
         items: list[StoreItem] = []
         for change in changes:
             item = _unpack(change) or await self._reader.read(change, address)
@@ -171,7 +171,7 @@
         logger.info("store followed", extra={"relay": relay, "lost": lost, "age": round(self._view.age, 3)})
 
     async def _reload(self) -> bool:
-        """Read everything; the pages are no snapshot, so the watch goes on from the first one."""
+        """Read all keys; the pages are not a snapshot, so the watch continues from the revision of the first page."""
         started = read_clock()
         items: dict[str, StoreItem] = {}
         page = await self._store.read_range(EVERYTHING)
@@ -211,15 +211,15 @@
         return True
 
     def _fail(self, page: NotDone) -> bool:
-        """Keep why the store gave nothing, for the line that tells that it is lost."""
+        """Record why a call of the store failed, for the log line "store lost"."""
         self._cause = page.cause
-        logger.debug("store gave nothing", extra={"cause": page.cause})
+        logger.debug("call of the store failed", extra={"cause": page.cause})
         return False
 
     def _choose_watch_time(self) -> float:
-        """Choose how long to wait for changes: the word for those who ask must not get too old for them meanwhile.
+        """Choose how long to wait for changes, so that the state for followers does not get too old in the meantime.
 
-        After a long value it was 0.9 s old already, and 1.9 s after one more whole watch.
+        After reading a long value it is already 0.9 s old, and would be 1.9 s old after another full watch.
         """
         if not self._server.is_asked():
             return WATCH_TIME
@@ -233,13 +233,13 @@
 
 
 def _unpack(change: Change) -> StoreItem | None:
-    """Give the item of a change; none when its value is to be read elsewhere."""
+    """Return the item of a change; None if its value has to be obtained separately."""
     if change.is_left_out:
         return None
     try:
         return StoreItem(change.key, change.unpack(), change.revision)
     except ValueError as error:
-        logger.warning("value of a relay not understood", extra={"key": change.key, "fault": str(error)})
+        logger.warning("value from a relay not understood", extra={"key": change.key, "fault": str(error)})
         return None
 
 
--- a/packages/node/src/vaneturn_node/traffic/following/serverentries.py
+++ b/packages/node/src/vaneturn_node/traffic/following/serverentries.py
@@ -1,4 +1,4 @@
-"""Decides which entries of the list name a server to use: others than servers may write there too."""
+"""Validates entries of the server list, which writers other than servers can modify too."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from vaneturn_core.traffic.servers import BackendServer, ServerName
 from vaneturn_node.platform.servers import decode_server
 
-MAX_ASIDE: Final = 256  # entries that another configuration may name; 390 nodes are planned before 810 servers
-MAX_FAULTS: Final = 256  # names whose newest fault is remembered, so that each is logged once
-BORN_SHARE: Final = 0.5  # of a service's servers that tell when they were born, from which the others are no servers
+MAX_ASIDE: Final = 256  # entries kept for a later configuration; the planned size is 390 nodes in front of 810 servers
+MAX_FAULTS: Final = 256  # names whose latest fault is kept, so that each is logged once
+BORN_SHARE: Final = 0.5  # if more of a service's servers than this state their birth, entries without it are rejected
 
 logger = logging.getLogger(__name__)
 
 
 class ServerEntries:
-    """Checks entries against the platform's pages and the configuration in force."""
+    """Checks entries against the platform's format and the configuration in force."""
 
     def __init__(self) -> None:
-        self._aside: dict[ServerName, BackendServer] = {}  # sound, but not named by the configuration in force
+        self._aside: dict[ServerName, BackendServer] = {}  # valid, but not used by the configuration in force
         self._faults: dict[ServerName, str] = {}
 
     def read(
@@ -32,7 +32,7 @@
         configuration: TrafficConfiguration | None,
         listed: Collection[BackendServer],
     ) -> BackendServer | None:
-        """Read an entry; none when it names no server to use."""
+        """Read an entry; None if its server cannot be used."""
         self._aside.pop(name, None)
         server = decode_server(name, value)
         if isinstance(server, Fault):
@@ -44,14 +44,14 @@
         return self._admit(server, configuration)
 
     def forget(self, name: ServerName) -> None:
-        """Forget an entry that went."""
+        """Drop the state of an entry that was removed."""
         self._aside.pop(name, None)
         self._faults.pop(name, None)
 
     def recheck(
         self, configuration: TrafficConfiguration, listed: Collection[BackendServer]
     ) -> tuple[list[BackendServer], list[BackendServer]]:
-        """Check all entries against a new configuration; gives the servers to list and those to drop."""
+        """Check all entries against a new configuration; return the servers to list and those to drop."""
         aside = list(self._aside.values())
         self._aside.clear()
         added = [server for server in aside if self._admit(server, configuration) is not None]
@@ -59,7 +59,7 @@
         return added, dropped
 
     def _admit(self, server: BackendServer, configuration: TrafficConfiguration | None) -> BackendServer | None:
-        """Give a server that the configuration has a use for, and put any other aside for the next configuration."""
+        """Return the server if the configuration uses it; otherwise keep it aside for the next configuration."""
         fault = _find_misfit(server, configuration) if configuration is not None else None
         if fault is None:
             self._faults.pop(server.name, None)
@@ -70,7 +70,7 @@
         return None
 
     def _note_fault(self, name: ServerName, fault: Fault) -> None:
-        """Log a fault, once while it stays the same."""
+        """Log a fault unless it was the latest one of this entry."""
         if self._faults.get(name) == str(fault):
             return
         if len(self._faults) >= MAX_FAULTS:
@@ -94,7 +94,7 @@
 
 
 def _tell_born(server: BackendServer, listed: Collection[BackendServer]) -> bool:
-    """Tell whether the servers of a service tell when they were born; one entry of another writer shows nothing."""
+    """Check whether most servers of a service state their birth, so that one foreign entry does not decide."""
     others = [one for one in listed if one.service == server.service and one.name != server.name]
     return sum(one.born is not None for one in others) > BORN_SHARE * max(1, len(others))
 
--- a/packages/node/src/vaneturn_node/traffic/following/viewkeeping.py
+++ b/packages/node/src/vaneturn_node/traffic/following/viewkeeping.py
@@ -1,4 +1,4 @@
-"""Keeps the view of a node by the items of the store, however they came."""
+"""Updates the view of a node from items of the store, whether they came from the store or from a relay."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ViewKeeper:
-    """Decodes items and puts them into the view, one log line for each belief that changes."""
+    """Decodes items and applies them to the view, with one log line per change."""
 
     def __init__(self, tenure: Tenure, parts: TrafficParts) -> None:
         self._tenure = tenure
@@ -29,7 +29,7 @@
         self._entries = ServerEntries()
 
     def forget_lapsed(self) -> None:
-        """Remove the servers whose entries have not come back."""
+        """Remove the servers whose lapsed entries have not been restored."""
         for server in self._view.expire_lapsed():
             logger.info("server removed", extra={"server": server, "cause": "entry did not come back"})
         self._parts.beliefs.forget_absent(self._view.servers)
@@ -38,7 +38,7 @@
         self._parts.crash_watch.note_listed()
 
     def replace_all(self, items: Mapping[str, StoreItem]) -> None:
-        """Take the whole state of the store."""
+        """Apply the whole state of the store."""
         servers: list[BackendServer] = []
         self._view.nodes = {}
         if TENURE_KEY not in items:
@@ -59,7 +59,7 @@
             logger.info("server removed", extra={"server": removed, "cause": "not in the list"})
 
     def apply(self, item: StoreItem) -> None:
-        """Take one item as it was written or removed."""
+        """Apply one item that was written or removed."""
         if item.key == CONFIGURATION_KEY:
             self._apply_configuration(item)
         elif item.key == TENURE_KEY:
@@ -117,7 +117,7 @@
         return self._entries.read(name, item.value or b"", self._view.configuration, listed)
 
     def _list(self, server: BackendServer) -> None:
-        """Put a server into the list; one that started again has nothing of its start before."""
+        """Add or update a server; a restarted server inherits nothing from its previous start."""
         known = self._view.find_server(server.name)
         if not self._view.put_server(server):
             logger.info("older start of a server left", extra={"server": server.id})
@@ -130,7 +130,7 @@
             logger.info("server listed", extra=extra)
 
     def _drop(self, server: BackendServer, cause: str) -> None:
-        """Remove a server at once: its entry is there, so it has not lapsed."""
+        """Remove a server at once; its entry is still present, so there is no lapse to wait for."""
         self._view.drop_server(server.id)
         logger.info("server removed", extra={"server": server.id, "cause": cause})
 
