--- a/tests/node/traffic/following/test_follower.py
+++ b/tests/node/traffic/following/test_follower.py
@@ -1,4 +1,4 @@
-"""Who asks a store that is away: few calls of each node beside relays that say that they do not reach it either."""
+"""Calls of an unavailable store: a node makes few while its relays answer that they cannot reach it either."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
 
 
 class Relays:
-    """Say what they are told to."""
+    """Give preset answers."""
 
     def __init__(self) -> None:
         self.word: RelayedChanges | NoChanges = NoChanges.OUT_OF_TOUCH
-        self.words: dict[str, RelayedChanges | NoChanges] = {}  # of single ones
+        self.words: dict[str, RelayedChanges | NoChanges] = {}  # of single relays, by address
         self.asked: list[str] = []
 
     async def ask(self, address: str, _: int) -> RelayedChanges | NoChanges:
@@ -97,7 +97,7 @@
 
 
 async def test_node_leaves_a_store_that_is_away_to_its_relays() -> None:
-    """One call, and another after the half of a bound at the soonest; without the relays' word a call each 0.4 s."""
+    """One call, and the next after half of the bound at the earliest; without the relays' answers, one every 0.4 s."""
     assert await count_calls(NoChanges.OUT_OF_TOUCH) <= 3
 
 
@@ -121,7 +121,7 @@
 
 
 async def test_next_nodes_stand_in_for_relays_that_the_store_turns_away() -> None:
-    """Two of 64 nodes are out of touch, and the others are not: one asks another one, and not the store."""
+    """If both relays of 64 nodes are out of touch, a node asks another node that is in touch instead of the store."""
     store, relays = Store(), Relays()
     follower, _ = make_follower(store, relays)
     out = list_relays(NODES)
@@ -135,7 +135,7 @@
 
 
 class LongStore(Store):
-    """Gives no changes that could be read in time, or none at all, and the newest values."""
+    """Cannot give changes, as they take too long or are no longer kept, but gives the latest values."""
 
     def __init__(self, answer: HistoryGone | WatchTooLong, page: StorePage | NotDone) -> None:
         super().__init__()
@@ -168,7 +168,7 @@
 
 @pytest.mark.parametrize("answer", UNREADABLE)
 async def test_relays_are_asked_when_the_newest_values_cannot_be_read(answer: HistoryGone | WatchTooLong) -> None:
-    """A node that gave up what it knew asked the store alone, which might turn just this node away."""
+    """A node that discards its state must not depend on the store alone, which may reject just this node."""
     relays = Relays()
     relays.word = NoChanges.NO_ANSWER
     follower, _ = make_follower(LongStore(answer, NotDone("status 503")), relays)
--- a/tests/node/traffic/following/test_serverentries.py
+++ b/tests/node/traffic/following/test_serverentries.py
@@ -1,8 +1,8 @@
-"""Entries of the list come from servers, which may start again under their names, and from other writers.
+"""Entries of the list come from servers, which may restart under the same name, and from other writers.
 
-Before, an entry with -3 places, the address "not an addr", layers from -5 or up to 10^9, or of a service that nobody
-names was a server to use; one that turned unreadable left its server listed; and a server that had started again was
-taken for the one before, with all that was believed of it.
+An entry with -3 slots, the address "not an addr", layers from -5 or up to 10^9, or of a service that is not configured
+must not be used as a server. An entry that becomes unreadable must not leave its server listed, and a restarted server
+must not inherit the known state of its previous start.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
 
 class Node:
-    """A node's view, kept by items."""
+    """A node whose view is updated by items."""
 
     def __init__(self) -> None:
         caller = Caller(LinkPool())
@@ -108,7 +108,7 @@
     node = Node()
     node.put("servers/i-1", SOUND)
     node.put("servers/i-2", SOUND, addr="10.1.64.10:8080")
-    node.view.contact = StoreContact(time.monotonic(), time.monotonic(), float("-inf"))  # in trouble: no lapse either
+    node.view.contact = StoreContact(time.monotonic(), time.monotonic(), float("-inf"))  # no lapse in an outage
     with caplog.at_level(logging.WARNING):
         for _ in range(3):
             node.put("servers/i-1", SOUND, **{field: value})
@@ -139,7 +139,7 @@
     node = Node()
     foreign = {field: value for field, value in SOUND.items() if field != "born"}
     node.put("servers/i-1", foreign)
-    assert node.list_names() == ["i-1"]  # a platform that does not tell it
+    assert node.list_names() == ["i-1"]  # on a platform whose entries do not state the birth
     node = Node()
     for number in (1, 2, 3):
         node.put(f"servers/i-{number}", SOUND)
@@ -162,7 +162,7 @@
     assert (second.name, second.layers) == ("i-1", ())
     fresh = node.beliefs[second.id]
     assert (fresh.resting_until, fresh.is_replaced, fresh.leading, fresh.reserved) == (float("-inf"), False, 0, 0.0)
-    assert node.parts.crashes.list_ends_under(Content(1)) == [first.id]  # the start before has ended
+    assert node.parts.crashes.list_ends_under(Content(1)) == [first.id]  # the previous start has crashed
     assert list(node.parts.list_choosable(second.service, [])) == [second]
 
 
@@ -178,7 +178,7 @@
 
 
 class Reports(Caller):
-    """Answers every question with one body."""
+    """Answers every request with the same body."""
 
     def __init__(self, status: int, body: bytes) -> None:
         super().__init__(LinkPool())
--- a/tests/node/traffic/samples.py
+++ b/tests/node/traffic/samples.py
@@ -1,4 +1,4 @@
-"""Parts of a node for tests of what nodes tell each other."""
+"""Parts of a node for tests of the exchange between nodes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Answer(ClientAnswer):
-    """Keeps what was answered."""
+    """Records the answer."""
 
     def __init__(self) -> None:
         self.status = 0
--- a/tests/node/traffic/servers/test_looks.py
+++ b/tests/node/traffic/servers/test_looks.py
@@ -1,7 +1,7 @@
-"""Looks of many streams at once, answers that come back while they look, and faults of this VM.
+"""Checks of a chain by many streams at once, responses that return during a check, and faults of this VM.
 
-Each stream asked behind the question of the one before: the looks of twelve took 0.8 s, and a look holds up the relay
-of its events. A question from before the way was free counted beside answers from after it.
+If each stream waits for the probe of the previous one, the checks of twelve streams take 0.8 s, and a check delays the
+relay of its stream's events. A probe sent while the link was blocked must not count against responses sent afterwards.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def anyio_backend() -> tuple[str, dict[str, object]]:
-    """What a look finds depends on answers within some 20 ms, which a busy machine may not give to the test."""
+    """Use virtual time, since a check depends on responses within some 20 ms, which a busy machine may delay."""
     return "asyncio", {"loop_factory": VirtualTimeLoop}
 
 
@@ -33,11 +33,11 @@
 
 
 async def test_silence_of_a_question_asked_behind_the_queue_says_nothing_once_the_way_is_free() -> None:
-    """One stream asks while nobody is heard; a moment later another one looks, and everybody answers at once."""
+    """One stream probes while no server responds; right after that another one checks, and all servers respond."""
     servers = Servers(silent=set(range(8)))
     parts = make_node(servers)
-    await parts.reports.read(SERVERS[2])  # of another stream; this VM hears nobody
-    servers.silent.clear()  # the way is free
+    await parts.reports.read(SERVERS[2])  # by another stream, while this VM cannot reach any server
+    servers.silent.clear()  # the link works again
     assert await find_lost(make_finder(parts)) == ([], False)
     assert parts.beliefs[SERVERS[2].id].failures == 0
 
@@ -52,7 +52,7 @@
 
 
 async def test_question_that_waited_for_the_one_of_another_stream() -> None:
-    """The same without luck: the look waits for the lock of a question that was asked before the way was free."""
+    """The check joins a running probe that was sent before the link worked again."""
     servers = Servers(silent=set(range(8)))
     parts = make_node(servers)
     found: list[tuple[list[str], bool]] = []
@@ -69,7 +69,7 @@
 
 
 async def look_at_once(parts: TrafficParts, streams: int) -> list[bool]:
-    """Let streams look twice at the same chain; gives whether each of them has found its first server gone."""
+    """Let streams check the same chain twice; return for each whether it found its first server gone."""
     found: list[bool] = []
 
     async def look() -> None:
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("streams", [1, 4, 12])
 async def test_questions_do_not_grow_with_the_streams_that_look(streams: int) -> None:
-    """Two looks ask twice each, whoever looks; one question after the other made looks longer with each stream."""
+    """Two checks send two probes each, whatever the number of streams; sequential probes would add up."""
     servers = Servers(silent=set(range(8)))
     assert not any(await look_at_once(make_node(servers), streams))
     asked = Counter(servers.asked)
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize(("share", "count"), [(0.9, 12), (1.1, 0)])
 async def test_answers_that_are_not_prompt_say_nothing_of_a_loss(share: float, count: int) -> None:
-    """As on a machine too busy to give answers in time: none of twelve streams found the loss of its chain."""
+    """On a machine too busy to deliver responses in time, none of twelve streams finds the loss of its chain."""
     servers = Servers(silent=set(range(PARTS)), delay=share * PROMPT)
     assert sum(await look_at_once(make_node(servers), 12)) == count
 
--- a/tests/node/traffic/servers/test_lossfinding.py
+++ b/tests/node/traffic/servers/test_lossfinding.py
@@ -1,7 +1,7 @@
-"""A silence is held against a server only if others answer meanwhile, and each question counts once.
+"""An unanswered probe counts against a server only if others respond in the meantime, and it counts only once.
 
-Reports were kept for 0.2 s and looked at every 0.1 s, so that one question without an answer made two silences and a
-lost server. Behind its own full link a node found 11 of the 12 servers of a chain lost in one look.
+If timeouts are kept for 0.2 s and checked every 0.1 s, one unanswered probe counts twice and makes a server lost. And a
+node whose own link is full must not find 11 of the 12 servers of a chain lost in one check.
 """
 
 from __future__ import annotations
@@ -34,12 +34,12 @@
 
 
 class Servers(Caller):
-    """Answers questions in the place of servers."""
+    """Answers probes in place of servers."""
 
     def __init__(self, silent: set[int], delay: float = 0.002) -> None:
         super().__init__(LinkPool())
         self.silent = {SERVERS[number].address for number in silent}
-        self.delay = delay  # seconds of the answers
+        self.delay = delay  # seconds until a response
         self.asked: list[str] = []
 
     async def call(self, address: str, method: str, target: str, limit: float, **_: Any) -> Reply | Failed:
@@ -90,7 +90,7 @@
 
 
 async def test_nobody_is_lost_while_answers_are_late() -> None:
-    """Some questions were answered in time and some not, as the queue on the link was about as long as the time."""
+    """Some probes are answered in time and some are not, as the queue on the link takes as long as the timeout."""
     parts = make_node(Servers(silent={1, 3}, delay=0.04))
     assert await find_lost(make_finder(parts)) == ([], False)
 
@@ -99,7 +99,7 @@
     servers = Servers(silent={0})
     parts = make_node(servers)
     await parts.reports.read(SERVERS[0])
-    await anyio.sleep(0.1)  # the next look
+    await anyio.sleep(0.1)  # until the next check
     await parts.reports.read(SERVERS[0])
     assert servers.asked == [SERVERS[0].address] * 2
 
@@ -117,7 +117,7 @@
 
 
 async def test_part_that_had_just_worked_is_asked_soon_after() -> None:
-    """A server that went dark had worked for another request 20 ms after the newest event of this one."""
+    """A server stops responding after it has worked for another request 20 ms after the latest event of this one."""
     servers = Servers(silent={2})
     parts = make_node(servers)
     finder = make_finder(parts)
@@ -131,7 +131,7 @@
 
 
 async def test_short_silence_counts_for_a_part_that_was_heard_when_it_began() -> None:
-    """All parts were heard of 0.07 s ago: by an age of 0.08 s none of them was asked."""
+    """All parts were heard from 0.07 s ago: with a maximum age of 0.08 s, none of them would be probed."""
     servers = Servers(silent={2})
     parts = make_node(servers)
     for server in SERVERS[:PARTS]:
--- a/tests/node/traffic/servers/test_permits.py
+++ b/tests/node/traffic/servers/test_permits.py
@@ -1,4 +1,4 @@
-"""Permits between nodes: an issuer that does not answer, limits that end, words that are not understood."""
+"""Permits between nodes: an issuer that does not answer, limits that are lifted, invalid messages."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Network(Caller):
-    """Carries questions between the nodes of a test."""
+    """Delivers permit requests between the nodes of a test."""
 
     def __init__(self) -> None:
         super().__init__(LinkPool())
@@ -43,7 +43,7 @@
         view.put_server(SERVER)
         view.nodes = {node: str(node) for node in NODES}
         parts = make_parts(vm, view, ServerBeliefs(), self)
-        parts.node_history._known.clear()  # as if it had started long ago
+        parts.node_history._known.clear()  # as if the node had started long ago
         parts.node_history._known.append((0.0, frozenset(NODES)))
         return parts
 
@@ -59,7 +59,7 @@
         return Reply(200, body) if body is not None else Reply(400, b"")
 
     def tell(self, node: VmId, rate: float | None) -> None:
-        """Let the server name a limit, or none, to a node."""
+        """Let the server send a limit, or its end, to a node."""
         self.nodes[node].directives.take(SERVER, ServerDirectives(rate), read_clock())
 
 
@@ -111,7 +111,7 @@
     network.tell(ASKER, 50.0)
     assert await count_permits(network, ASKER, 2) == 0
     wait = network.nodes[ASKER].compute_wait(SERVER.service)
-    assert wait == 0  # it holds no layers, so that no request waits for it
+    assert wait == 0  # the server holds no layers, so no request waits for it
     assert network.nodes[ASKER].beliefs[SERVER.id].permit_at > read_clock() + NO_ISSUER_WAIT / 2
 
 
--- a/tests/node/traffic/sharing/test_changelog.py
+++ b/tests/node/traffic/sharing/test_changelog.py
@@ -1,4 +1,4 @@
-"""The log of changes that nodes pass on: complete after a revision, or it says that it is not."""
+"""The log of changes for other nodes: it lists all changes after a revision, or reports that it cannot."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 def test_newest_change_of_a_key_is_told_alone() -> None:
-    """Ten configurations in quick succession are one to the nodes that ask after them."""
+    """Nodes that ask after ten configurations in quick succession get only the last one."""
     log = ChangeLog()
     log.replace([], 0)
     log.append([StoreItem("config", b"one", 1), make_item(2), StoreItem("config", b"two", 3)], 3)
@@ -62,7 +62,7 @@
 
 
 def test_long_value_that_packs_well_is_told_packed() -> None:
-    """Each node read it from the store: 215 calls of 23 nodes while the configuration changed ten times."""
+    """Otherwise each node reads it from the store: 215 calls by 23 nodes while the configuration changed ten times."""
     value = b"route " * MAX_RELAYED_BYTES
     log = ChangeLog()
     log.replace([], 0)
@@ -98,7 +98,7 @@
 
 
 def test_new_reading_is_told_as_what_differs() -> None:
-    """When the store had forgotten its history, each node behind a relay read the whole state from the store."""
+    """Otherwise, when the store has dropped its history, each follower reads the whole state from the store."""
     log = ChangeLog()
     log.replace([make_item(3), make_item(4)], 10)
     log.append([make_item(11)], 11)
@@ -122,7 +122,7 @@
 def test_node_that_takes_the_changes_holds_what_the_store_holds(
     steps: list[tuple[int, bool, bool]], asked_at: int
 ) -> None:
-    """Writes and removals heard one by one or read anew, and a node that asks once in the middle and at the end."""
+    """Writes and removals arrive singly or by a reload, and a node asks once in the middle and once at the end."""
     log, store, node = ChangeLog(), dict[str, StoreItem](), dict[str, int]()
     log.replace([], 0)
     told = 0
--- a/tests/node/traffic/sharing/test_changes.py
+++ b/tests/node/traffic/sharing/test_changes.py
@@ -1,4 +1,4 @@
-"""Changes from node to node: times are never taken for younger than they are."""
+"""Changes sent from node to node: state never counts as more recent than it is."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Wire(Caller):
-    """Carries a question to a server in this process; the way back takes some seconds."""
+    """Delivers a request to a server in this process, and its answer after a delay in seconds."""
 
     def __init__(self, server: ChangeServer, delay: float = 0.0) -> None:
         super().__init__(LinkPool())
@@ -54,7 +54,7 @@
 
 
 class Relay:
-    """A node that has read the store at revision 5."""
+    """A relay that has read the store at revision 5."""
 
     def __init__(self) -> None:
         self.view = PlatformView(5.0, time.monotonic)
@@ -114,14 +114,14 @@
 
 
 async def test_nodes_learn_what_all_others_have_in_progress() -> None:
-    """Each took the others to be like itself: chains of other halls seemed full, and the own ones free."""
+    """If each assumes that the others' load is like its own, chains of other halls seem full and its own ones free."""
     relay, other = Relay(), Relay()
     lead(relay.beliefs, 1)
     await make_client(Wire(other.server), "entry-4", busy=20)[0].ask("relay", 4)
     relay.board.take_relay(VmId("entry-9"), other.board.sum_followers({}))
     for name, busy in (("entry-2", 3), ("entry-3", 5)):
         relay.hear(StoreItem("servers/i-1", b"entry", 6), revision=6)
-        await anyio.sleep(SUM_AGE)  # one sum serves all that ask at about the same time
+        await anyio.sleep(SUM_AGE)  # requests at about the same time share one sum
         client, board = make_client(Wire(relay.server), name, busy)
         assert await client.ask("relay", 5) is not None
     assert board.find_others(BUSY) == ServerLoad(1 + 3 + 20, 24 * RESERVED)
@@ -136,7 +136,7 @@
 
 
 async def test_rate_limit_that_one_node_was_told_reaches_all_others() -> None:
-    """Each node went on sending as before until an answer named the limit to it."""
+    """Otherwise each node keeps its rate until a server's answer to it contains the limit."""
     relay, other = Relay(), Relay()
     teller, _ = make_client(Wire(relay.server), "entry-2")
     teller._permits.take_news([ToldLimit("i-1", 2.5, 0.0), ToldLimit("i-9", 2.5, 0.0), ToldLimit("i-1", -1.0, 0.0)])
@@ -203,7 +203,7 @@
 
 
 async def test_answer_after_the_whole_hold_counts_for_nothing() -> None:
-    """A relay that was cut without a word was left 1.91 s after its last word, of 2 s allowed."""
+    """Else a relay whose link to the store is cut silently is left only after 1.91 s, and 2 s are allowed."""
     relay = Relay()
     with anyio.fail_after(TIMES.hold + 0.1):
         assert await ask(Wire(relay.server)) is NoChanges.OUT_OF_TOUCH
@@ -255,7 +255,7 @@
 
 
 async def test_loss_does_not_bring_a_word_that_is_too_old_for_the_asker() -> None:
-    """The asker left its relay for such a word, and so did all others in the same moment."""
+    """An asker that gets state that is too old leaves its relay, and so do all others at the same moment."""
     relay = Relay()
     relay.view.contact = dataclasses.replace(relay.view.contact, confirmed_at=time.monotonic() - TIMES.ask - 0.1)
     told: list[RelayedChanges | NoChanges] = []
--- a/tests/node/traffic/sharing/test_crashsharing.py
+++ b/tests/node/traffic/sharing/test_crashsharing.py
@@ -1,4 +1,4 @@
-"""Words on servers that ended reach all nodes, at once or with the next question."""
+"""Reports of crashed servers reach all nodes, at once or after their next request."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Mesh(Caller):
-    """Carries words between nodes of one process; those that are cut off get none and send none."""
+    """Delivers messages between nodes of one process; disconnected nodes receive and send none."""
 
     def __init__(self, names: list[str]) -> None:
         super().__init__(LinkPool())
@@ -46,7 +46,7 @@
         self.nodes[name] = CrashSharing(VmId(name), self.boards[name], view, self)
         return self.nodes[name]
 
-    async def call(  # type: ignore[override] # what the product gives
+    async def call(  # type: ignore[override] # only the arguments that the node passes
         self, address: str, _method: str, target: str, _limit: float, *, body: bytes
     ) -> Reply | Failed:
         sender = msgspec.json.decode(body)["vm"]
@@ -78,7 +78,7 @@
         await anyio.sleep(0.3)
         told = mesh.words
         await anyio.sleep(0.3)
-        assert mesh.words == told  # nobody has anything to add
+        assert mesh.words == told  # no further messages, as all nodes know the same
         assert told <= 12 * count
         tasks.cancel_scope.cancel()
 
@@ -96,9 +96,9 @@
         mesh.end(relays[0], "i-2")
         await wait_for(lambda: mesh.list_barring() == set(names) - {away})
         mesh.cut = set()
-        mesh.nodes[relays[1]].compare(VmId(away), mesh.nodes[away].check)  # as with its next question
+        mesh.nodes[relays[1]].compare(VmId(away), mesh.nodes[away].check)  # as with its next request
         await wait_for(lambda: mesh.list_barring() == set(names))
-        tasks.start_soon(mesh.add(relays[0]).run)  # a relay that lost all it knew
+        tasks.start_soon(mesh.add(relays[0]).run)  # a relay that was restarted and lost its state
         assert relays[0] not in mesh.list_barring()
         mesh.nodes[relays[1]].compare(VmId(relays[0]), mesh.nodes[relays[0]].check)
         await wait_for(lambda: mesh.list_barring() == set(names))
@@ -123,7 +123,7 @@
 
 
 async def test_nodes_that_can_never_know_the_same_tell_each_other_seldom() -> None:
-    """More ends than are kept, and each node has newer ones than the other."""
+    """There are more crashes than are kept, and each node has newer ones than the other."""
     names = ["entry-1", "entry-2"]
     mesh = Mesh(names)
     async with anyio.create_task_group() as tasks:
@@ -135,7 +135,7 @@
                 mesh.end(name, f"i-{name}-{number}")
         await anyio.sleep(0.3)
         mesh.words = 0
-        for _ in range(20):  # questions of one second; nothing comes through
+        for _ in range(20):  # requests within one second; no message is delivered
             mesh.nodes["entry-2"].compare(VmId("entry-1"), mesh.nodes["entry-1"].check)
             await anyio.sleep(0.02)
         assert mesh.words <= 2
--- a/tests/node/traffic/sharing/test_difference.py
+++ b/tests/node/traffic/sharing/test_difference.py
@@ -1,4 +1,4 @@
-"""Differences of long values: what comes out is what went in, or nothing."""
+"""Differences of long values: applying one gives the original value or an error."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def make_value(**changed: Any) -> bytes:
-    """Make a configuration of as many routes as operators have written."""
+    """Make a configuration with as many routes as operators use."""
     texts = random.Random(1)
     routes = [
         {
--- a/tests/node/traffic/sharing/test_longvalues.py
+++ b/tests/node/traffic/sharing/test_longvalues.py
@@ -1,4 +1,4 @@
-"""Long values from node to node: made of differences, or given whole by a relay, and read from the store last."""
+"""Long values between nodes: built from differences, sent whole by a relay or, if that fails, read from the store."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def make_item(revision: int, text: str = "") -> StoreItem:
-    """Make a value that is too long for the changes when it is packed, too; the text is all that changes."""
+    """Make a value that is too long for the changes even when compressed; versions differ only in the text."""
     texts = random.Random(1)
     routes = [
         f'{{"name": "{texts.randbytes(12).hex()}", "note": "{text if number == 700 else ""}"}}'
@@ -59,7 +59,7 @@
 
 
 class Wire(Caller):
-    """Carries questions to relays in this process, and to a store that holds one item."""
+    """Delivers requests to relays in this process, and to a store that holds one item."""
 
     def __init__(self, relays: Mapping[str, ChangeLog | Reply], stored: StoreItem | None = None) -> None:
         super().__init__(LinkPool())
@@ -91,7 +91,7 @@
 
 
 async def test_newer_version_is_made_of_its_difference() -> None:
-    """Each node read the whole configuration, 545 KB, for one time-out that had changed."""
+    """Otherwise each node reads the whole configuration, 545 KB, when a single timeout changes."""
     newest = make_item(5, "changed")
     relay, wire = make_log(make_item(3), newest), Wire({})
     change = tell(relay, 4)
@@ -116,7 +116,7 @@
     relay = make_log(make_item(3), newest)
     wire = Wire({"relay": relay})
     change = tell(relay, 4)
-    another = StoreItem(KEY, b" " + (make_item(3).value or b""), 3)  # differs where the difference copies
+    another = StoreItem(KEY, b" " + (make_item(3).value or b""), 3)  # differs in a piece that is copied
     assert await make_reader(make_log(another), wire).read(change, "relay") == newest
     assert wire.asked == ["relay"]
 
@@ -157,7 +157,7 @@
 
 
 async def test_relay_gives_values_one_after_the_other_and_refuses_who_would_wait_too_long() -> None:
-    """Given to 48 nodes at once, whole values fill the relay's own link for a second, and its streams stall."""
+    """Sent to 48 nodes at once, whole values would fill the relay's own link for a second and stall its streams."""
     server = LongValueServer(make_log(make_item(3)))
     answers: list[tuple[float, Answer]] = []
     began = time.monotonic()
@@ -177,6 +177,6 @@
     assert refused
     sent = 0
     for at, size in given:
-        assert at >= sent / VALUE_RATE - 0.01  # none leaves before those in front of it have had their time
+        assert at >= sent / VALUE_RATE - 0.01  # none is sent before the previous ones have used their share of the rate
         sent += size
     assert sent / VALUE_RATE >= LONGEST_TURN
--- a/tests/node/traffic/sharing/test_losssharing.py
+++ b/tests/node/traffic/sharing/test_losssharing.py
@@ -1,4 +1,4 @@
-"""A loss that two nodes have found is known to the others at once, along the way of the relays."""
+"""A loss that two nodes have found reaches the other nodes at once over the relays."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Fleet(Caller):
-    """Carries words between nodes in this process; the address of a node is its name."""
+    """Delivers messages between nodes in this process; the address of a node is its name."""
 
     def __init__(self) -> None:
         super().__init__(LinkPool())
@@ -106,7 +106,7 @@
 
 
 async def test_one_silence_seen_by_many_requests_is_one_failure() -> None:
-    """Each stream over a server looked for itself: five of them made 8 s of rest out of one silence of 0.1 s."""
+    """Each stream on a server checks for itself; five must not turn one silence of 0.1 s into 8 s of backoff."""
     node = Node(NODES[0], Fleet())
     for _ in range(5):
         node.parts.note_lost(LOST)
@@ -124,7 +124,7 @@
 
 
 async def test_node_that_hears_of_a_server_again_takes_its_word_back() -> None:
-    """Two nodes were deaf for a moment; what they told of it kept all others from a sound server for up to 8 s."""
+    """Reports of two nodes that briefly received nothing must not keep others off a healthy server for up to 8 s."""
     fleet = Fleet()
     one, other = list_relays(NODES)
     finders = [list_followers(one)[0], list_followers(other)[0]]
--- a/tests/node/traffic/sharing/test_serverrows.py
+++ b/tests/node/traffic/sharing/test_serverrows.py
@@ -1,4 +1,4 @@
-"""Loads and losses on the way between nodes: small, and never taken for those of another server."""
+"""Loads and losses in messages between nodes: compact, and never attributed to another server."""
 
 from __future__ import annotations
 
