--- a/tests/system/platform/test_catchup.py
+++ b/tests/system/platform/test_catchup.py
@@ -1,12 +1,11 @@
-"""A node that was out of touch while a long configuration was written many times never served again.
+"""A node that missed many versions of a long configuration must serve again.
 
-Its watch of the store is answered with every version since the revision it knows. Twelve versions of 626,500 bytes
-take 6 s over its link of 10 Mbit/s, and a watch was given up 1.1 s after its wait, bytes arriving or not. Then the same
-was asked again, which grows with each version more, and the keys were too old for ever. The cause stood in the log:
-"store lost", "answer not whole in time, 3063808 bytes of it came", age 8.978, and no "store regained" after it. A node
-that starts reads the newest values, and was well. Now a node whose watch is still arriving when its time is up does the
-same, and reads values for as long as bytes come: the longest value that the store takes needs 1.1 s over such a link,
-and was given up after 1.0 s each time.
+The store answers its watch with every version since the revision that the node knows. Twelve versions of 626,500 bytes
+take 6 s over a 10 Mbit/s link. If the watch times out 1.1 s after its wait although bytes are arriving, the node
+repeats the same, ever larger request ("answer not whole in time, 3063808 bytes of it came"), and its API keys stay too
+old. So when the watch times out while its answer is arriving, the node reads the latest values instead, as it does at
+its start. Reads last as long as bytes arrive: the longest value that the store takes needs 1.1 s over such a link, more
+than a fixed timeout of 1.0 s.
 """
 
 from __future__ import annotations
@@ -25,8 +24,8 @@
 pytestmark = pytest.mark.anyio
 
 LONGEST_ROUTES = 4400  # a configuration of 1.03 MB; the store takes 1.05 MB
-VERSIONS = 12  # one of them is 626,500 bytes; all that were missed take 6 s of the link
-RECOVERY_TIME = 12.0  # seconds; the users' bound `recover_s`
+VERSIONS = 12  # of 626,500 bytes each; all of them take 6 s over the link
+RECOVERY_TIME = 12.0  # seconds; the required bound `recover_s`
 
 
 @pytest.fixture
@@ -36,12 +35,12 @@
 
 
 async def miss_changes(traffic: Traffic) -> None:
-    """Freeze the node while the long configuration is written again and again."""
+    """Freeze the node while the long configuration is written several times."""
     node = traffic.nodes[0]
     node.process.send(signal.SIGSTOP)
     for version in range(2, 2 + VERSIONS):
         write_long(traffic, version, 1400 + version)
-    await anyio.sleep(6.0)  # until the keys are too old
+    await anyio.sleep(6.0)  # until the API keys are too old
     node.process.send(signal.SIGCONT)
 
 
--- a/tests/system/platform/test_deadly.py
+++ b/tests/system/platform/test_deadly.py
@@ -1,16 +1,15 @@
-"""A request ended each server that began to run it, and came again, at any node, under a new id.
+"""A request that crashes each server that begins to run it must be stopped, although clients retry it at any node.
 
-Nothing remembered it. A node took the end of a server for the loss of one: it sent the request on to the next server,
-which ended as well, and when that had failed too the client came back and another node began anew. In one recorded
-day 26 first servers of chains ended so, the three halls lost theirs within 0.64 s, and each server that was back ended
-under its first requests:
+Each retry has a new id. If a node takes such a crash for the loss of a server, it sends the request to the next server,
+which crashes as well, and then the client retries at another node. In this way the first servers of three halls can be
+lost within 0.64 s, 26 first servers in a day, and each restarted server crashes again under its first requests:
 
     "steps": ["1ms over i-38aea83532[0,8) ...", "120ms not an answer: peer closed connection without sending complete
     message body", "120ms over i-53e14f9e4f[0,24) ...", "363ms not an answer: ...", "363ms answer broken off"],
     "events": 0
 
-The same customer and route stood so, without an event, at each of the eight ends of which the nodes' lines are kept;
-the others that were there had had events before, or were whole elsewhere.
+At each of eight such crashes a request of the same customer and route had not had an event yet; the other requests on
+these servers had had events before, or completed elsewhere.
 """
 
 from __future__ import annotations
@@ -30,8 +29,8 @@
 pytestmark = pytest.mark.anyio
 
 DEADLY = b"a letter that ends servers"
-MOST_SENDS = 3  # that the users allow once a request has ended three servers and nodes have had time to hear of it
-HEARING_TIME = 1.0  # seconds that nodes are given for it; the users give 3
+MOST_SENDS = 3  # allowed once a request has crashed three servers and the nodes have had time to learn of it
+HEARING_TIME = 1.0  # seconds for the nodes to learn of it; 3 are allowed
 
 
 @pytest.fixture
@@ -41,7 +40,7 @@
 
 
 async def send_deadly(traffic: Traffic, node: int) -> int | None:
-    """Send the request as a client does; gives the status, none when the answer was broken off."""
+    """Send the request as a client does; return the status, or None if the answer was aborted."""
     try:
         return (await traffic.ask_for(DEADLY, "/letter/1", node)).status_code
     except httpx.HTTPError:
@@ -66,7 +65,7 @@
 
 
 async def bar(traffic: Traffic, path: str = "/letter/1") -> None:
-    """Let the request end servers until a node answers it finally, and the others have heard of it."""
+    """Let the request crash servers until a node bars it, and give the other nodes time to learn of it."""
     for _ in range(4):
         try:
             answer = await traffic.ask_for(DEADLY, path)
@@ -92,7 +91,7 @@
 
 
 async def test_answer_without_an_event_is_not_broken_off(three: Traffic) -> None:
-    """The servers that ended had answered 200; the client had nothing of it and comes back for a connection closed."""
+    """The crashed servers had answered 200, but no event reached the client, which would retry a closed connection."""
     await three.add_chains(halls=("east", "west", "north"))
     three.fleet.deadly = DEADLY
     answer = await three.ask_for(DEADLY, "/letter/1")
@@ -111,7 +110,7 @@
 
 
 async def test_bystanders_are_served(three: Traffic) -> None:
-    """Streams that run on the servers that end, begun long before it or with it."""
+    """Streams on the crashing servers are served, whether they began long before the crash or at the same time."""
     await three.add_chains(halls=("east", "west", "north"))
     three.fleet.answer_tokens, three.fleet.token_time, three.fleet.deadly_after = 100, 0.02, 0.1
     statuses: list[int | None] = []
@@ -181,7 +180,7 @@
     async with anyio.create_task_group() as tasks:
 
         async def ask() -> None:
-            with anyio.fail_after(7):  # bar and its waits take 2 s; by itself the copy would end after 9 s
+            with anyio.fail_after(7):  # bar() and its waits take 2 s; otherwise the copy would end after 9 s
                 answer = await three.ask_for(DEADLY, "/letter/1", 2, X_Request_Id="copy", X_Deadline_Ms="9000")
             statuses.append(answer.status_code)
 
@@ -195,7 +194,7 @@
         busy = three.fleet.runs[0].server
         others = [server for server in servers if server.id == busy]
         others[0].state = "draining"
-        others[0].announce()  # the other copies go elsewhere
+        others[0].announce()  # so that the other copies are sent elsewhere
         await anyio.sleep(0.3)
         await bar(three)
     assert statuses == [400]
@@ -203,7 +202,7 @@
 
 
 async def test_copy_that_has_had_events_goes_on(three: Traffic) -> None:
-    """The same request begins to run well, as on a server of another kind, before others end under it."""
+    """The same request runs without a crash, as on a server of another kind, before other servers crash under it."""
     await three.add_chains(halls=("east", "west", "north"))
     three.fleet.answer_tokens, three.fleet.token_time = 20, 0.04
     ids: list[int] = []
--- a/tests/system/platform/test_directives.py
+++ b/tests/system/platform/test_directives.py
@@ -1,4 +1,4 @@
-"""What servers ask of the nodes in their answers is kept by all nodes together, as the servers see it."""
+"""All nodes together comply with the directives that servers send in their answers, as seen by the servers."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 pytestmark = pytest.mark.anyio
 
 NODES = 4
-LINK_RATE = 1e9  # bytes a second; with links of their own, nodes have addresses of their own
+LINK_RATE = 1e9  # bytes per second; setting a rate gives each node its own link and thus its own address
 PAUSE = 0.2  # seconds between the requests of one client
 
 
 async def ask_everywhere(traffic: Traffic, path: str, seconds: float) -> list[httpx.Response]:
-    """Let one client at each node ask again and again."""
+    """Run one client per node that repeats a request."""
     answers: list[httpx.Response] = []
     until = time.monotonic() + seconds
 
@@ -37,7 +37,7 @@
 
 
 def find_first(servers: list[Server], hall: str) -> Server:
-    """Find the server of a hall that its chains begin at."""
+    """Find the first server of the chains of a hall."""
     return next(one for one in servers if one.hall == hall and one.held is not None and one.held[0] == 0)
 
 
@@ -62,7 +62,7 @@
 async def test_plain_service_that_asked_for_rest_gets_no_more_requests(tmp_path: Path) -> None:
     async with open_traffic(tmp_path, nodes=NODES, link_rate=LINK_RATE) as traffic:
         resting = await traffic.add_desk()
-        (await traffic.add_desk()).work_time = 0.1  # so that the other one seems to be sooner
+        (await traffic.add_desk()).work_time = 0.1  # so that the other server seems faster
         resting.rest = 3.0
         answers = await ask_everywhere(traffic, "/check/1", 5.0)
         assert find_breaches(traffic.fleet.record) == []
--- a/tests/system/platform/test_keys.py
+++ b/tests/system/platform/test_keys.py
@@ -1,4 +1,4 @@
-"""Keys and configurations: in force soon, never older, and closed when the store cannot confirm them."""
+"""API keys and configurations: changes apply soon and for good; keys are refused if the store cannot confirm them."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
     await anyio.sleep(0.6)
     assert (await traffic.ask("/once/1")).status_code == 200
     await anyio.sleep(2.5)
-    assert (await traffic.ask("/once/2")).status_code == 503  # it did not come back
+    assert (await traffic.ask("/once/2")).status_code == 503  # the entry was not restored in time
 
 
 async def test_configuration_that_is_not_understood_leaves_the_last_in_force(traffic: Traffic) -> None:
--- a/tests/system/platform/test_narrowlink.py
+++ b/tests/system/platform/test_narrowlink.py
@@ -1,10 +1,9 @@
-"""A long configuration filled the links of nodes, and the nodes took what waited behind it for silence of servers.
+"""A long configuration that fills a node's link must not make its servers seem lost.
 
-A link is shared by all connections of a node and passes what comes first in first out. A configuration with some
-2,000 routes took the links of 59 nodes for about a quarter of a second, and a small change of it, which is written as
-the whole again, took them once more. The events of streams waited behind it, and so did the answers of the servers
-that were asked for a sign of life. Nothing was lost and nothing was slow but the link, and yet the nodes broke
-streams off as if nearly all servers of their chains were lost.
+All connections of a node share its link, which is first in, first out. A configuration with some 2,000 routes fills the
+links of 59 nodes for about a quarter of a second, and a small change, which writes the whole again, fills them once
+more. The events of streams and the responses to probes wait behind it. Although only the link is slow, a node might
+then abort streams as if nearly all servers of their chains were lost.
 """
 
 from __future__ import annotations
@@ -26,11 +25,11 @@
 TOKENS = 150
 TOKEN_TIME = 0.02  # seconds
 MORE_ROUTES = 2000
-TRANSFER = 0.5  # seconds that the long configuration takes of the link
-LINK_RATE = 1_250_000.0  # bytes a second, 10 Mbit/s; the store gives the long configuration as 626,500 bytes
+TRANSFER = 0.5  # seconds that the long configuration occupies the link
+LINK_RATE = 1_250_000.0  # bytes per second, 10 Mbit/s; the store sends the long configuration as 626,500 bytes
 REQUEST = "behind-a-long-value"
-DEADLINE = "8000"  # milliseconds; below the patience of the client, so that the node's own end is seen
-CHANGE_TIME = 1.0  # seconds from the long configuration to the change of it
+DEADLINE = "8000"  # milliseconds; less than the client's timeout, so that the node ends the request first
+CHANGE_TIME = 1.0  # seconds between writing the long configuration and its change
 
 
 @pytest.fixture
@@ -40,7 +39,7 @@
 
 
 def write_long(traffic: Traffic, version: int, timeout: int, more_routes: int = MORE_ROUTES) -> None:
-    """Write a configuration with many routes; of two versions only the timeout of one route differs."""
+    """Write a configuration with many routes; two versions differ only in the timeout of one route."""
     routes = make_configuration(1)["routes"]
     changed = {**routes[3], "timeout_ms": timeout}
     more = make_more_routes(more_routes, random.Random(1))
@@ -48,9 +47,9 @@
 
 
 async def ask_through_long_configurations(traffic: Traffic) -> httpx.Response | None:
-    """Ask for a stream, and write the long configuration and its change while the events come.
+    """Request a stream, and write the long configuration and its change while events arrive.
 
-    :return: none when the answer was broken off.
+    :return: None if the answer was aborted.
     """
     traffic.fleet.answer_tokens, traffic.fleet.token_time = TOKENS, TOKEN_TIME
     answers: list[httpx.Response] = []
--- a/tests/system/platform/test_relays.py
+++ b/tests/system/platform/test_relays.py
@@ -1,4 +1,4 @@
-"""A few nodes ask the store for all: fewer calls, and no bound is missed when a relay is lost, frozen or cut off."""
+"""A few relays ask the store for all nodes, and all bounds hold when a relay is lost, frozen or cut off."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 NODES = 5
 WATCH = ("GET", "/api/kv-watch")
-CONTACT_TIME = 3.0  # seconds after an outage of the store from which all nodes are in touch
-HEARD_AGE = 2.5  # seconds since the store confirmed what a node believes, over which it is out of touch
-DRAIN_TIME = 2.0  # seconds after which no node may send to a server that leaves
-LONG_ROUTES = 60  # make a configuration longer than what is passed on
-LONGEST_ROUTES = 1200  # make one longer than that when it is packed
+CONTACT_TIME = 3.0  # seconds after a store outage until all nodes must be in touch again
+HEARD_AGE = 2.5  # seconds since the last confirmation by the store from which a node counts as out of touch
+DRAIN_TIME = 2.0  # seconds after which no node may send requests to a leaving server
+LONG_ROUTES = 60  # routes of a configuration that is too long to be included in changes without compression
+LONGEST_ROUTES = 1200  # routes of a configuration that is too long even when compressed
 
 
 @pytest.fixture
@@ -62,7 +62,7 @@
 
 
 async def wait_until_heard(traffic: Traffic) -> None:
-    """Wait until every node has heard of the store, relays among them: one may still wait for a call of the outage."""
+    """Wait until the state of every node is confirmed, as even a relay may still be in a call begun in the outage."""
     with anyio.fail_after(CONTACT_TIME):
         while True:
             if all(state["age"] < HEARD_AGE for state in await read_states(traffic)):
@@ -85,7 +85,7 @@
 
 
 def make_longest_configuration(version: int, timeout: int = 1500) -> dict[str, Any]:
-    """Make one that is too long for the changes when it is packed, too."""
+    """Make a configuration that is too long for the changes even when compressed."""
     routes = make_configuration(1)["routes"]
     texts = random.Random(1)
     added = [
@@ -106,7 +106,7 @@
 
 
 async def leave(traffic: Traffic) -> None:
-    """Let the one plain server leave without a word, and add another."""
+    """Remove the only plain server without notice, and add another."""
     old = next(server for server in traffic.fleet.servers.values() if server.service == "desk")
     await traffic.fleet.add(f"127.0.0.1:{find_port()}", "desk", "east", None)
     traffic.fleet.store.remove(f"servers/{old.id}")
@@ -147,14 +147,14 @@
 
 @pytest.mark.parametrize("mode", [Mode.SILENT, Mode.BUSY], ids=["silent", "refused"])
 async def test_relay_that_the_store_turns_away_is_left(traffic: Traffic, mode: Mode) -> None:
-    """A server leaves right after the relay was cut from the store; the other nodes reach it."""
+    """A server leaves right after the relay was cut off from the store, which the other nodes can reach."""
     relay = await find_relay(traffic)
 
     def treat(exchange: Exchange) -> Mode | None:
         return mode if exchange.call.headers["host"] == relay.store_address else None
 
     traffic.fleet.store.treats = treat
-    await anyio.sleep(1.0)  # the watch under way was taken before
+    await anyio.sleep(1.0)  # the current watch was accepted before the cut
     await leave(traffic)
     await anyio.sleep(DRAIN_TIME - 0.3)
     await assert_all_use_the_new_server(traffic, left_out=relay)
@@ -173,9 +173,9 @@
 
 
 async def test_relay_is_kept_while_a_long_value_arrives_there(traffic: Traffic) -> None:
-    """All 57 nodes left both relays and read 545 KB from the store at once: no token came for 0.16 s and more.
+    """Otherwise 57 nodes leave both relays and read 545 KB from the store at once, which delays tokens by over 0.16 s.
 
-    The value was written just before the end of a watch, and took longer than the rest of the relays' hold.
+    The value is written just before the end of a watch, and takes longer than the remaining hold time of the relays.
     """
     times = RelayTimes.derive(DRAIN_TIME)
     relays = {
@@ -200,7 +200,7 @@
 
 
 async def test_long_configurations_are_read_from_the_store_by_relays_alone(traffic: Traffic) -> None:
-    """Each of 59 nodes read 545 KB from the store, all at once: their links were full for 0.25 s and longer."""
+    """Otherwise 59 nodes read 545 KB from the store at once, which fills their links for 0.25 s and longer."""
     store = traffic.fleet.store
     store.calls.clear()
     for version, timeout in enumerate((1500, 1400), start=2):
@@ -216,7 +216,7 @@
 
 
 async def test_node_that_the_store_turns_away_gets_a_long_configuration_from_its_relay(traffic: Traffic) -> None:
-    """It left one relay after the other, since it could not read the value that they had left out."""
+    """Otherwise it leaves one relay after the other, as it cannot read the value that their changes do not include."""
     relays = await read_relays(traffic)
     number = next(number for number, relay in enumerate(relays) if relay is not None)
     node = traffic.nodes[number]
@@ -226,7 +226,7 @@
 
     traffic.fleet.store.treats = treat
     configure(traffic.fleet.store, make_longest_configuration(2))
-    await anyio.sleep(6.0)  # longer than keys are valid without a word of the store
+    await anyio.sleep(6.0)  # longer than keys are valid without confirmation by the store
     answer = await traffic.ask("/more-7/1", method="GET", node=number)
     assert answer.status_code == httpx.codes.OK
 
--- a/tests/system/platform/test_silence.py
+++ b/tests/system/platform/test_silence.py
@@ -1,11 +1,10 @@
-"""Servers were silent for half a second, and nodes broke off answers that these servers went on to make.
-
-A configuration of 523 KB was read by 59 nodes at once, each over a link of 20 Mbit/s. The events of their streams
-waited behind it, and so did the answers of the servers when they were asked for a sign of life. The nodes took the
-silence for the loss of the servers: "lost" named 11 of the 12 servers of a chain, in one look. Each then ended a try
-whose server still worked on it, and only after that found that it had no second send left. 58 of 63 streams that were
-broken off in twelve seconds ended so: "418ms first server lost", "420ms retry budget used up", "420ms answer broken
-off"; the route allowed twenty seconds.
+"""Nodes must not abort streams because servers are silent for half a second and then continue.
+
+When 59 nodes read a configuration of 523 KB at once, each over a 20 Mbit/s link, the events of streams and the
+responses to probes wait behind it. A node that takes this silence for a loss, e.g. of 11 of the 12 servers of a chain,
+ends a try whose server still works on it, and only then finds that it may not send a second one. Of 63 streams aborted
+in twelve seconds, 58 ended like this, although the route allowed twenty seconds: "418ms first server lost", "420ms
+retry budget used up", "420ms answer broken off".
 """
 
 from __future__ import annotations
@@ -25,7 +24,7 @@
 
 TOKENS = 60
 TOKEN_TIME = 0.02  # seconds
-SILENCE = 0.6  # seconds; longer than two questions without an answer, shorter than a client's patience
+SILENCE = 0.6  # seconds; longer than two unanswered probes, shorter than a client's timeout
 
 
 @pytest.fixture
@@ -38,9 +37,9 @@
 async def ask_through_a_silence(
     traffic: Traffic, path: str, choose: Callable[[list[Server]], list[Server]]
 ) -> httpx.Response:
-    """Ask for a stream; some of the servers of its chain say nothing for a while in the middle of it.
+    """Request a stream during which some servers of its chain stop responding for a while.
 
-    :param choose: picks them from the servers of the chain, in its order.
+    :param choose: selects these servers from those of the chain, given in its order.
     """
     traffic.fleet.answer_tokens, traffic.fleet.token_time = TOKENS, TOKEN_TIME
     answers: list[httpx.Response] = []
