--- a/packages/node/src/vaneturn_node/traffic/servers/crashwatch.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/crashwatch.py
@@ -12,7 +12,7 @@
 from vaneturn_node.platform.servers import ServerReport
 from vaneturn_node.traffic.servers.reports import ReportBoard
 
-ASKS: Final = 2  # probes before a server counts as running; the first may use a connection that is about to be reset
+MAX_PROBES: Final = 2  # per cut connection; the first may use a connection that is about to be reset
 
 logger = logging.getLogger(__name__)
 
@@ -33,21 +33,21 @@
         :param suspicion: None for a request that is known not to crash servers.
         """
         if suspicion is not None:
-            self._note_lost(server, content, suspicion)
-        for _ in range(ASKS):
+            self._record_loss(server, content, suspicion)
+        for _ in range(MAX_PROBES):
             report = await self._reports.read(server, 0.0)
             if isinstance(report, ServerReport):
                 return False
             if self._reports.is_gone(server.id):
-                self._note_refused(server, content)
+                self._confirm_crash(server, content)
                 return True
         return False
 
     def note_silent(self, server: BackendServer, content: Content, suspicion: Suspicion) -> None:
         """Record an unresponsive server; it has crashed if its address refuses connections or its entry is removed."""
-        self._note_lost(server, content, suspicion)
+        self._record_loss(server, content, suspicion)
         if self._reports.is_gone(server.id):
-            self._note_refused(server, content)
+            self._confirm_crash(server, content)
 
     def note_sound(self, server: BackendServer, content: Content) -> None:
         """Record that a server has run a request without a crash."""
@@ -57,22 +57,22 @@
     def note_listed(self) -> None:
         """Check the list of servers: lost servers that are no longer listed have crashed."""
         for server in self._board.confirm_absent(self._view.servers):
-            self._log_end(server, "entry gone")
+            self._log_crash(server, "entry gone")
 
-    def _note_lost(self, server: BackendServer, content: Content, suspicion: Suspicion) -> None:
+    def _record_loss(self, server: BackendServer, content: Content, suspicion: Suspicion) -> None:
         """Record a lost request, unless the server is draining."""
         listed = self._view.servers.get(server.id)
         if listed is not None and listed.state is not ServerState.DRAINING:
             self._board.note_lost(server.id, server.software, content, suspicion)
 
-    def _note_refused(self, server: BackendServer, content: Content) -> None:
+    def _confirm_crash(self, server: BackendServer, content: Content) -> None:
         if self._board.confirm(server.id):
-            self._log_end(server.id, "nobody listens")
+            self._log_crash(server.id, "nobody listens")
         if self._board.is_barred(content):
-            ends = self._board.list_ends_under(content)
-            logger.info("request barred", extra={"content": format_content(content), "servers": ends})
+            crashed = self._board.list_ends_under(content)
+            logger.info("request barred", extra={"content": format_content(content), "servers": crashed})
 
-    def _log_end(self, server: ServerId, cause: str) -> None:
+    def _log_crash(self, server: ServerId, cause: str) -> None:
         suspects = self._board.list_suspects(server)
         extra = {"server": server, "cause": cause, "suspects": [format_content(one) for one in suspects]}
         logger.info("server ended", extra=extra)
--- a/packages/node/src/vaneturn_node/traffic/servers/directivekeeper.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/directivekeeper.py
@@ -12,7 +12,7 @@
 from vaneturn_core.traffic.servers import BackendServer, ServerId
 from vaneturn_node.clock import read_clock
 
-MAX_SPREAD: Final = 0.3  # seconds; spreads the return of nodes that were asked for rest at the same time
+MAX_REST_SPREAD_S: Final = 0.3  # spreads the return of nodes that were asked for rest at the same time
 MAX_REMEMBERED: Final = 1024  # servers whose latest directives are kept, so that each change is logged once
 
 logger = logging.getLogger(__name__)
@@ -24,7 +24,7 @@
     def __init__(self, beliefs: ServerBeliefs, limits: RateLimits) -> None:
         self._beliefs = beliefs
         self._limits = limits
-        self._newest: dict[ServerId, ServerDirectives] = {}
+        self._latest: dict[ServerId, ServerDirectives] = {}
 
     def take(self, server: BackendServer, directives: ServerDirectives, sent_at: float) -> None:
         """Apply the directives of an answer.
@@ -36,14 +36,14 @@
             self._limits.note_answer(server.id, directives.rate_limit, sent_at, now)
         belief.is_leaving = belief.is_leaving or directives.is_leaving
         if directives.rest is not None:
-            belief.take_rest(now + directives.rest + random.uniform(0.0, min(MAX_SPREAD, directives.rest)))
+            belief.take_rest(now + directives.rest + random.uniform(0.0, min(MAX_REST_SPREAD_S, directives.rest)))
         else:
             belief.note_taken(sent_at)
-        if self._newest.get(server.id, ServerDirectives()) == directives:
+        if self._latest.get(server.id, ServerDirectives()) == directives:
             return
-        if len(self._newest) >= MAX_REMEMBERED:
-            self._newest.clear()
-        self._newest[server.id] = directives
+        if len(self._latest) >= MAX_REMEMBERED:
+            self._latest.clear()
+        self._latest[server.id] = directives
         extra = {
             "server": server.id,
             "rate_limit": directives.rate_limit,
--- a/packages/node/src/vaneturn_node/traffic/servers/exchange.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/exchange.py
@@ -33,10 +33,10 @@
 from vaneturn_node.traffic.servers.directivekeeper import DirectiveKeeper
 from vaneturn_node.traffic.servers.firstreading import FirstReading
 from vaneturn_node.traffic.servers.permits import Permits
-from vaneturn_node.traffic.servers.reports import JOIN_AGE, ReportBoard
+from vaneturn_node.traffic.servers.reports import PROBE_JOIN_AGE_S, ReportBoard
 from vaneturn_node.traffic.servers.signals import Signal
 
-CONTROLS: Final = 2  # servers probed to check this VM's own connectivity; one of them may be lost as well
+CONTROL_PROBES: Final = 2  # servers probed to check this VM's own connectivity; one of them may be lost as well
 
 
 @dataclass
@@ -98,10 +98,10 @@
     def find_layer_map(self, service: ServiceName, engine: EngineProfile) -> LayerMap:
         """Return the map of servers by layer; rebuilt only when the list of servers has changed."""
         servers = self.view.list_servers(service)
-        known = self.layer_maps.get(service)
-        if known is None or not known.is_of(engine, servers):
-            known = self.layer_maps[service] = LayerMap(engine, servers)
-        return known
+        layer_map = self.layer_maps.get(service)
+        if layer_map is None or not layer_map.is_of(engine, servers):
+            layer_map = self.layer_maps[service] = LayerMap(engine, servers)
+        return layer_map
 
     def list_choosable(self, service: ServiceName, avoided: Iterable[ServerId]) -> list[BackendServer]:
         """List the servers of a service that are eligible for new work."""
@@ -120,22 +120,22 @@
         staying = [belief for belief in (self.beliefs[server.id] for server in leading) if not belief.is_leaving]
         return min((belief.compute_wait(now) for belief in staying), default=0.0)
 
-    async def hears_others(self, but: Collection[ServerId], since: float) -> bool:
+    async def hears_others(self, excluded: Collection[ServerId], since: float) -> bool:
         """Check whether this VM can reach servers other than the given ones, probing a few if none has responded.
 
         With at most one engine server there is nothing to compare with, so the VM counts as connected.
 
         :param since: monotonic time; responses to probes sent earlier do not count.
         """
-        engines = [one for one in self.view.servers.values() if one.kind is not None]
+        engines = [server for server in self.view.servers.values() if server.kind is not None]
         if len(engines) <= 1 or self.hearing.has_heard_since(since):
             return True
-        asked_at = read_clock()
-        others = [one for one in engines if one.id not in but]
+        probed_at = read_clock()
+        others = [server for server in engines if server.id not in excluded]
         async with anyio.create_task_group() as tasks:
-            for control in random.sample(others, min(CONTROLS, len(others))):
+            for control in random.sample(others, min(CONTROL_PROBES, len(others))):
                 tasks.start_soon(self.reports.read, control, 0.0)
-        return self.hearing.has_heard_since(asked_at - JOIN_AGE)
+        return self.hearing.has_heard_since(probed_at - PROBE_JOIN_AGE_S)
 
     def note_lost(self, server: ServerId) -> None:
         """Record a failure of a server, unless its backoff is still running, and report it to other nodes.
--- a/packages/node/src/vaneturn_node/traffic/servers/permits.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/permits.py
@@ -19,10 +19,10 @@
 from vaneturn_node.http1.caller import Caller, Reply
 
 PERMITS_PATH: Final = "/permits"
-PERMIT_TIME: Final = 0.1  # seconds until an issuer times out; a healthy one answers in 2 to 10 ms
-LEFT_ALONE: Final = 2.0  # seconds for which an issuer that did not answer is not asked again
-NO_ISSUER_WAIT: Final = 0.5  # seconds without requests to a server if no node can issue permits for it
-MAX_WAIT: Final = 5.0  # seconds; a node asks again by then, as a low limit may have been lifted in the meantime
+PERMIT_TIMEOUT_S: Final = 0.1  # time until an issuer times out; a healthy one answers in 2 to 10 ms
+ISSUER_BACKOFF_S: Final = 2.0  # time for which an issuer that did not answer is not asked again
+NO_ISSUER_WAIT_S: Final = 0.5  # time without requests to a server if no node can issue permits for it
+MAX_PERMIT_WAIT_S: Final = 5.0  # a node asks again by then, as a low limit may have been lifted in the meantime
 _OK: Final = 200
 
 logger = logging.getLogger(__name__)
@@ -71,29 +71,29 @@
         self._limits = limits
         self._issuer = issuer
         self._caller = caller
-        self._left_until: dict[VmId, float] = {}
+        self._backoff_until: dict[VmId, float] = {}
 
     async def obtain(self, server: ServerId) -> bool:
         """Obtain a permit for one request; if refused, the server is not chosen until one may be available."""
         limit = self._limits.find(server)
         if limit is None or limit.rate is None:
             return True
-        reply = await self._ask(server, limit)
+        reply = await self._request_permit(server, limit)
         if reply is None:
             logger.info("no node issues permits", extra={"server": server, "rate_limit": limit.rate})
-            self._beliefs[server].permit_at = read_clock() + NO_ISSUER_WAIT
+            self._beliefs[server].permit_at = read_clock() + NO_ISSUER_WAIT_S
             return False
         now = read_clock()
         if self._limits.take_told(server, reply.rate, now - reply.age, now).rate is None:
             return True
-        self._beliefs[server].permit_at = read_clock() + min(reply.wait, MAX_WAIT)
+        self._beliefs[server].permit_at = read_clock() + min(reply.wait, MAX_PERMIT_WAIT_S)
         return reply.wait <= 0
 
     def forget_absent(self) -> None:
         """Drop the state of servers and nodes that are no longer listed."""
         self._limits.forget_absent(self._view.servers)
         self._issuer.forget_absent(self._view.servers)
-        self._left_until = {vm: until for vm, until in self._left_until.items() if vm in self._view.nodes}
+        self._backoff_until = {vm: until for vm, until in self._backoff_until.items() if vm in self._view.nodes}
 
     def list_news(self) -> list[ToldLimit]:
         """List the recently changed limits."""
@@ -101,15 +101,15 @@
         news = self._limits.list_news(now)
         return [ToldLimit(server, limit.rate, max(0.0, now - limit.at)) for server, limit in news.items()]
 
-    def take_news(self, told: Iterable[ToldLimit]) -> None:
+    def take_news(self, reported: Iterable[ToldLimit]) -> None:
         """Apply limits that another node reported; invalid ones are ignored."""
         now = read_clock()
-        for one in told:
-            server = ServerId(one.server)
-            if self._is_sound(server, one.rate, one.age):
-                self._limits.take_told(server, one.rate, now - one.age, now)
+        for limit in reported:
+            server = ServerId(limit.server)
+            if self._is_valid(server, limit.rate, limit.age):
+                self._limits.take_told(server, limit.rate, now - limit.age, now)
 
-    def _is_sound(self, server: ServerId, rate: float | None, age: float) -> bool:
+    def _is_valid(self, server: ServerId, rate: float | None, age: float) -> bool:
         if server in self._view.servers and age >= 0 and (rate is None or 0 < rate < math.inf):
             return True
         logger.debug("reported rate limit ignored", extra={"server": server, "rate_limit": rate, "age": age})
@@ -118,39 +118,39 @@
     def answer(self, body: bytes) -> bytes | None:
         """Answer a permit request of another node; None if the request is invalid."""
         try:
-            asked = msgspec.json.decode(body, type=PermitRequest)
+            request = msgspec.json.decode(body, type=PermitRequest)
         except msgspec.DecodeError as error:
             logger.warning("permit request not understood", extra={"fault": str(error)})
             return None
-        server = ServerId(asked.server)
-        if not self._is_sound(server, asked.rate, asked.age):
+        server = ServerId(request.server)
+        if not self._is_valid(server, request.rate, request.age):
             return None
-        return msgspec.json.encode(self._issue(server, asked.rate, asked.age))
+        return msgspec.json.encode(self._issue(server, request.rate, request.age))
 
     def _issue(self, server: ServerId, rate: float | None, age: float) -> PermitReply:
         now = read_clock()
-        newest = self._limits.take_told(server, rate, now - age, now)
-        wait = self._issuer.issue(server, newest.rate) if newest.rate is not None else 0.0
-        return PermitReply(wait, newest.rate, max(0.0, read_clock() - newest.at))
+        latest = self._limits.take_told(server, rate, now - age, now)
+        wait = self._issuer.issue(server, latest.rate) if latest.rate is not None else 0.0
+        return PermitReply(wait, latest.rate, max(0.0, read_clock() - latest.at))
 
-    async def _ask(self, server: ServerId, limit: RateLimit) -> PermitReply | None:
+    async def _request_permit(self, server: ServerId, limit: RateLimit) -> PermitReply | None:
         """Ask the issuers in their order until one answers."""
         nodes = self._view.nodes
         for issuer in rank_issuers(server, frozenset(nodes)):
             if issuer == self._vm:
                 return self._issue(server, limit.rate, read_clock() - limit.at)
             address = nodes[issuer]
-            if address is None or self._left_until.get(issuer, 0.0) > read_clock():
+            if address is None or self._backoff_until.get(issuer, 0.0) > read_clock():
                 continue
-            reply = await self._call(address, server, limit)
+            reply = await self._request_from(address, server, limit)
             if reply is not None:
                 return reply
-            self._left_until[issuer] = read_clock() + LEFT_ALONE
+            self._backoff_until[issuer] = read_clock() + ISSUER_BACKOFF_S
         return None
 
-    async def _call(self, address: str, server: ServerId, limit: RateLimit) -> PermitReply | None:
+    async def _request_from(self, address: str, server: ServerId, limit: RateLimit) -> PermitReply | None:
         body = msgspec.json.encode(PermitRequest(server, limit.rate, max(0.0, read_clock() - limit.at)))
-        reply = await self._caller.call(address, "POST", PERMITS_PATH, PERMIT_TIME, body=body)
+        reply = await self._caller.call(address, "POST", PERMITS_PATH, PERMIT_TIMEOUT_S, body=body)
         if not isinstance(reply, Reply) or reply.status != _OK:
             return None
         try:
@@ -158,7 +158,7 @@
         except msgspec.DecodeError as error:
             logger.warning("permit not understood", extra={"node": address, "fault": str(error)})
             return None
-        return permit if self._is_sound(server, permit.rate, permit.age) else None
+        return permit if self._is_valid(server, permit.rate, permit.age) else None
 
 
 __all__ = ["PERMITS_PATH", "PermitReply", "PermitRequest", "Permits", "ToldLimit"]
--- a/packages/node/src/vaneturn_node/traffic/servers/reports.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/reports.py
@@ -13,18 +13,18 @@
 from vaneturn_node.http1.caller import Failed
 from vaneturn_node.platform.servers import ServerCalls, ServerReport
 
-SIGN_TIME: Final = 0.06  # seconds until a probe times out; a healthy server answers in 2 to 4 ms
-MAX_REPORT_AGE: Final = 30.0  # seconds for which the latest report is kept
-REPORT_AGE: Final = 0.2  # seconds; the content of a report lags by about as much
-# seconds within which requests join a running probe, so that checks by many requests take no longer than by one
-JOIN_AGE: Final = 0.02
+PROBE_TIMEOUT_S: Final = 0.06  # time until a probe times out; a healthy server answers in 2 to 4 ms
+MAX_REPORT_AGE_S: Final = 30.0  # time for which the latest report is kept
+REPORT_AGE_S: Final = 0.2  # the content of a report lags by about as much
+# Requests within this time join a running probe, so that checks by many requests take no longer than by one.
+PROBE_JOIN_AGE_S: Final = 0.02
 
 
 @dataclass(slots=True)
-class _Question:
+class _Probe:
     """A probe of a server; it has no report while it is running or if the task that sent it was cancelled."""
 
-    asked_at: float  # monotonic time
+    sent_at: float  # monotonic time
     is_over: anyio.Event = field(default_factory=anyio.Event)
     report: ServerReport | Failed | None = None
 
@@ -35,57 +35,57 @@
     def __init__(self, calls: ServerCalls, hearing: Hearing) -> None:
         self._calls = calls
         self._hearing = hearing
-        self._newest: dict[ServerId, _Question] = {}  # answered or not
-        self._open: dict[ServerId, _Question] = {}
+        self._latest: dict[ServerId, _Probe] = {}  # answered or not
+        self._running: dict[ServerId, _Probe] = {}
 
-    async def read(self, server: BackendServer, age: float = REPORT_AGE) -> ServerReport | Failed:
-        """Return a report that was requested at most `age` seconds ago, probing the server if there is none.
+    async def read(self, server: BackendServer, max_age: float = REPORT_AGE_S) -> ServerReport | Failed:
+        """Return a report that was requested at most `max_age` seconds ago, probing the server if there is none.
 
         Only received reports are reused, not timeouts. A timeout that was kept for 0.2 s and checked every 0.1 s would
         count twice, and one unanswered probe would make the server count as lost.
         """
         now = read_clock()
-        known = self._newest.get(server.id)
-        if known is not None and isinstance(known.report, ServerReport) and known.asked_at > now - age:
+        known = self._latest.get(server.id)
+        if known is not None and isinstance(known.report, ServerReport) and known.sent_at > now - max_age:
             return known.report
-        question = self._open.get(server.id)
-        if question is not None and question.asked_at >= now - JOIN_AGE:
-            await question.is_over.wait()
-            if question.report is not None:
-                return question.report
-        return await self._ask(server)
-
-    async def _ask(self, server: BackendServer) -> ServerReport | Failed:
-        question = self._open[server.id] = _Question(read_clock())
+        probe = self._running.get(server.id)
+        if probe is not None and probe.sent_at >= now - PROBE_JOIN_AGE_S:
+            await probe.is_over.wait()
+            if probe.report is not None:
+                return probe.report
+        return await self._send_probe(server)
+
+    async def _send_probe(self, server: BackendServer) -> ServerReport | Failed:
+        probe = self._running[server.id] = _Probe(read_clock())
         try:
-            question.report = report = await self._calls.read_report(server, SIGN_TIME)
+            probe.report = report = await self._calls.read_report(server, PROBE_TIMEOUT_S)
         finally:
-            question.is_over.set()
-            if self._open.get(server.id) is question:
-                del self._open[server.id]
+            probe.is_over.set()
+            if self._running.get(server.id) is probe:
+                del self._running[server.id]
         if isinstance(report, ServerReport):
-            self._hearing.record_answer(question.asked_at)
-        known = self._newest.get(server.id)
-        if known is None or known.asked_at <= question.asked_at:
-            self._newest[server.id] = question
-        self._forget_old()
+            self._hearing.record_answer(probe.sent_at)
+        known = self._latest.get(server.id)
+        if known is None or known.sent_at <= probe.sent_at:
+            self._latest[server.id] = probe
+        self._drop_old()
         return report
 
     def find(self, server: ServerId) -> ServerReport | None:
         """Return the latest report of a server; None if the latest probe failed."""
-        known = self._newest.get(server)
+        known = self._latest.get(server)
         return known.report if known is not None and isinstance(known.report, ServerReport) else None
 
     def is_gone(self, server: ServerId) -> bool:
         """Check whether the latest probe found no server, or another one, at the server's address."""
-        known = self._newest.get(server)
+        known = self._latest.get(server)
         return known is not None and isinstance(known.report, Failed) and known.report.is_gone
 
-    def _forget_old(self) -> None:
+    def _drop_old(self) -> None:
         """Drop reports too old to be used, including those of servers that have left."""
-        oldest = read_clock() - MAX_REPORT_AGE
-        for server in [one for one, question in self._newest.items() if question.asked_at < oldest]:
-            del self._newest[server]
+        oldest = read_clock() - MAX_REPORT_AGE_S
+        for server in [expired for expired, probe in self._latest.items() if probe.sent_at < oldest]:
+            del self._latest[server]
 
 
-__all__ = ["JOIN_AGE", "REPORT_AGE", "ReportBoard"]
+__all__ = ["PROBE_JOIN_AGE_S", "REPORT_AGE_S", "ReportBoard"]
--- a/tests/node/traffic/servers/test_permits.py
+++ b/tests/node/traffic/servers/test_permits.py
@@ -18,7 +18,7 @@
 from vaneturn_node.http1.caller import Caller, Failed, Reply
 from vaneturn_node.http1.pool import LinkPool
 from vaneturn_node.traffic.servers.exchange import TrafficParts
-from vaneturn_node.traffic.servers.permits import NO_ISSUER_WAIT, PermitRequest
+from vaneturn_node.traffic.servers.permits import NO_ISSUER_WAIT_S, PermitRequest
 
 pytestmark = pytest.mark.anyio
 
@@ -112,7 +112,7 @@
     assert await count_permits(network, ASKER, 2) == 0
     wait = network.nodes[ASKER].compute_wait(SERVER.service)
     assert wait == 0  # the server holds no layers, so no request waits for it
-    assert network.nodes[ASKER].beliefs[SERVER.id].permit_at > read_clock() + NO_ISSUER_WAIT / 2
+    assert network.nodes[ASKER].beliefs[SERVER.id].permit_at > read_clock() + NO_ISSUER_WAIT_S / 2
 
 
 async def test_end_of_a_limit_reaches_nodes_that_got_no_permit(network: Network) -> None:
--- a/tests/rig/ablation.py
+++ b/tests/rig/ablation.py
@@ -76,7 +76,7 @@
         "answers with long pauses over a slow server",
         (
             Edit(
-                f"{TRAFFIC}/servers/lossfinding.py", "if usual_pause >= SLOW_PAUSE:", "if usual_pause >= float('inf'):"
+                f"{TRAFFIC}/servers/lossfinding.py", "if usual_pause >= SLOW_GAP_S:", "if usual_pause >= float('inf'):"
             ),
         ),
     ),
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -182,8 +182,8 @@
         (
             Edit(
                 f"{TRAFFIC}/servers/reports.py",
-                "if known is not None and isinstance(known.report, ServerReport) and known.asked_at > now - age:",
-                "if known is not None and known.report is not None and known.asked_at > now - age:",
+                "if known is not None and isinstance(known.report, ServerReport) and known.sent_at > now - max_age:",
+                "if known is not None and known.report is not None and known.sent_at > now - max_age:",
             ),
         ),
     ),
@@ -378,8 +378,8 @@
         (
             Edit(
                 f"{TRAFFIC}/servers/lossfinding.py",
-                "return self._silences > 0 or self._has_spared",
-                "return self._silences > 0",
+                "return self._unanswered > 0 or self._has_skipped",
+                "return self._unanswered > 0",
             ),
         ),
     ),
