--- a/packages/node/src/vaneturn_node/traffic/servers/crashwatch.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/crashwatch.py
@@ -25,7 +25,7 @@
         self._reports = reports
         self._view = view
 
-    async def note_cut(self, server: BackendServer, content: Content, suspicion: Suspicion | None) -> bool:
+    async def record_cut_connection(self, server: BackendServer, content: Content, suspicion: Suspicion | None) -> bool:
         """Record that the connection of a request was cut; return whether the server has crashed.
 
         A reset alone proves nothing, because servers and links also reset connections of harmless requests.
@@ -43,18 +43,18 @@
                 return True
         return False
 
-    def note_silent(self, server: BackendServer, content: Content, suspicion: Suspicion) -> None:
+    def record_unresponsive(self, server: BackendServer, content: Content, suspicion: Suspicion) -> None:
         """Record an unresponsive server; it has crashed if its address refuses connections or its entry is removed."""
         self._record_loss(server, content, suspicion)
         if self._reports.is_gone(server.id):
             self._confirm_crash(server, content)
 
-    def note_sound(self, server: BackendServer, content: Content) -> None:
+    def record_success(self, server: BackendServer, content: Content) -> None:
         """Record that a server has run a request without a crash."""
         if self._board.note_sound(content, server.software):
             logger.info("request cleared", extra={"content": format_content(content)})
 
-    def note_listed(self) -> None:
+    def confirm_unlisted(self) -> None:
         """Check the list of servers: lost servers that are no longer listed have crashed."""
         for server in self._board.confirm_absent(self._view.servers):
             self._log_crash(server, "entry gone")
--- a/packages/node/src/vaneturn_node/traffic/servers/directivekeeper.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/directivekeeper.py
@@ -26,7 +26,7 @@
         self._limits = limits
         self._latest: dict[ServerId, ServerDirectives] = {}
 
-    def take(self, server: BackendServer, directives: ServerDirectives, sent_at: float) -> None:
+    def apply(self, server: BackendServer, directives: ServerDirectives, sent_at: float) -> None:
         """Apply the directives of an answer.
 
         :param sent_at: monotonic time at which the request was sent.
--- a/packages/node/src/vaneturn_node/traffic/servers/exchange.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/exchange.py
@@ -82,7 +82,7 @@
             caller=self.caller,
         )
 
-    def find_budget(self, service: ServiceName) -> WindowedRetryBudget:
+    def get_retry_budget(self, service: ServiceName) -> WindowedRetryBudget:
         """Return the retry budget of a service, creating it on first use."""
         budget = self.budgets.get(service)
         if budget is None:
@@ -95,7 +95,7 @@
             )
         return budget
 
-    def find_layer_map(self, service: ServiceName, engine: EngineProfile) -> LayerMap:
+    def get_layer_map(self, service: ServiceName, engine: EngineProfile) -> LayerMap:
         """Return the map of servers by layer; rebuilt only when the list of servers has changed."""
         servers = self.view.list_servers(service)
         layer_map = self.layer_maps.get(service)
@@ -103,15 +103,15 @@
             layer_map = self.layer_maps[service] = LayerMap(engine, servers)
         return layer_map
 
-    def list_choosable(self, service: ServiceName, avoided: Iterable[ServerId]) -> list[BackendServer]:
+    def list_eligible(self, service: ServiceName, avoided: Iterable[ServerId]) -> list[BackendServer]:
         """List the servers of a service that are eligible for new work."""
         return self.beliefs.list_choosable(self.view.list_servers(service), avoided, read_clock())
 
     def list_accepting(self, service: ServiceName, avoided: Iterable[ServerId]) -> list[BackendServer]:
         """List the eligible servers of a service that accept requests from this node."""
         now = read_clock()
-        choosable = self.list_choosable(service, avoided)
-        return [server for server in choosable if self.beliefs[server.id].may_take_request(now)]
+        eligible = self.list_eligible(service, avoided)
+        return [server for server in eligible if self.beliefs[server.id].may_take_request(now)]
 
     def compute_wait(self, service: ServiceName) -> float:
         """Compute the seconds until a server of a service accepts requests again; 0 if one does now or none will."""
@@ -120,7 +120,7 @@
         staying = [belief for belief in (self.beliefs[server.id] for server in leading) if not belief.is_leaving]
         return min((belief.compute_wait(now) for belief in staying), default=0.0)
 
-    async def hears_others(self, excluded: Collection[ServerId], since: float) -> bool:
+    async def can_reach_others(self, excluded: Collection[ServerId], since: float) -> bool:
         """Check whether this VM can reach servers other than the given ones, probing a few if none has responded.
 
         With at most one engine server there is nothing to compare with, so the VM counts as connected.
@@ -137,7 +137,7 @@
                 tasks.start_soon(self.reports.read, control, 0.0)
         return self.hearing.has_heard_since(probed_at - PROBE_JOIN_AGE_S)
 
-    def note_lost(self, server: ServerId) -> None:
+    def record_loss(self, server: ServerId) -> None:
         """Record a failure of a server, unless its backoff is still running, and report it to other nodes.
 
         Without this check, five streams that saw the same 0.1 s silence would extend the backoff from 0.7 s to 8 s.
@@ -145,15 +145,15 @@
         now = read_clock()
         if self.beliefs[server].found_until <= now:
             self.beliefs[server].record_failure(now)
-        self.loss_found.give()
+        self.loss_found.notify()
 
-    def note_refusal(self, server: ServerId, fullness: float) -> None:
+    def record_refusal(self, server: ServerId, fullness: float) -> None:
         """Record that a server refused a request: it lacks capacity or is lost, depending on its expected fullness."""
         now = read_clock()
         belief = self.beliefs[server]
         belief.record_refusal(now, fullness)
         if belief.found_until > now:
-            self.loss_found.give()
+            self.loss_found.notify()
 
     async def release(self, link: HttpLink, address: str, *, is_whole: bool) -> None:
         """Return a connection to the pool if its exchange completed, and close it at once otherwise."""
--- a/packages/node/src/vaneturn_node/traffic/servers/lossfinding.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/lossfinding.py
@@ -32,11 +32,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Losses:
+class ChainCheck:
     """Result of one check of a chain."""
 
     parts: list[Part]  # to be replaced
-    is_first_gone: bool = False  # the first server, which sends the answer, has crashed or is unreachable
+    is_first_lost: bool = False  # the first server, which sends the answer, has crashed or is unreachable
 
 
 class LossFinder:
@@ -50,27 +50,27 @@
         self._has_skipped = False  # whether parts were not probed because they had just worked for another request
 
     @property
-    def should_ask_soon(self) -> bool:
+    def should_check_soon(self) -> bool:
         """Whether the latest check was inconclusive: the first server did not respond, or parts were not probed."""
         return self._unanswered > 0 or self._has_skipped
 
-    async def find(self, chain: Chain, *, usual_pause: float, borne: float | None = None) -> Losses:
+    async def find(self, chain: Chain, *, mean_gap: float, tolerated_silence: float | None = None) -> ChainCheck:
         """Probe the parts that have not been heard from lately, and ask the first server which part stalls.
 
-        :param usual_pause: seconds between the events of this answer.
-        :param borne: seconds of silence after which the first check was due; None before the first event.
+        :param mean_gap: seconds between the events of this answer.
+        :param tolerated_silence: seconds of silence after which the first check was due; None before the first event.
         """
-        heard_age = HEARD_AGE_S if borne is None else min(HEARD_AGE_S, HEARD_AGE_SHARE * borne)
+        heard_age = HEARD_AGE_S if tolerated_silence is None else min(HEARD_AGE_S, HEARD_AGE_SHARE * tolerated_silence)
         lost = await self._find_silent(chain, heard_age)
         if chain.parts[0] in lost:
-            return Losses([], is_first_gone=self._is_first_gone(chain))
+            return ChainCheck([], is_first_lost=self._is_first_lost(chain))
         self._unanswered = 0
-        if usual_pause >= SLOW_GAP_S:
+        if mean_gap >= SLOW_GAP_S:
             lost += [part for part in await self._find_slow(chain) if part not in lost]
         stalled = self._find_stalled(chain)
-        return Losses(lost if stalled is None or stalled in lost else [*lost, stalled])
+        return ChainCheck(lost if stalled is None or stalled in lost else [*lost, stalled])
 
-    def _is_first_gone(self, chain: Chain) -> bool:
+    def _is_first_lost(self, chain: Chain) -> bool:
         first = chain.first.id
         max_unanswered = MAX_UNANSWERED if self._parts.beliefs[first].in_progress < MANY_IN_PROGRESS else 1
         return self._unanswered >= max_unanswered or self._parts.reports.is_gone(first)
@@ -126,7 +126,7 @@
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(probe)
-            is_connected = await self._parts.hears_others(silent_ids, probed_at)
+            is_connected = await self._parts.can_reach_others(silent_ids, probed_at)
             if is_connected:
                 tasks.cancel_scope.deadline = began + compute_answer_limit(anyio.current_time() - began)
         self._unanswered += chain.parts[0] in still_silent
@@ -175,4 +175,4 @@
         return next((part for part in chain.parts if part.server.address == stalled), None)
 
 
-__all__ = ["LossFinder", "Losses"]
+__all__ = ["ChainCheck", "LossFinder"]
--- a/packages/node/src/vaneturn_node/traffic/servers/permits.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/permits.py
@@ -44,7 +44,7 @@
     age: float
 
 
-class ToldLimit(Struct, array_like=True):
+class ReportedLimit(Struct, array_like=True):
     """A changed limit, as a node reports it to others."""
 
     server: str
@@ -95,13 +95,13 @@
         self._issuer.forget_absent(self._view.servers)
         self._backoff_until = {vm: until for vm, until in self._backoff_until.items() if vm in self._view.nodes}
 
-    def list_news(self) -> list[ToldLimit]:
+    def list_changed_limits(self) -> list[ReportedLimit]:
         """List the recently changed limits."""
         now = read_clock()
         news = self._limits.list_news(now)
-        return [ToldLimit(server, limit.rate, max(0.0, now - limit.at)) for server, limit in news.items()]
+        return [ReportedLimit(server, limit.rate, max(0.0, now - limit.at)) for server, limit in news.items()]
 
-    def take_news(self, reported: Iterable[ToldLimit]) -> None:
+    def apply_reported_limits(self, reported: Iterable[ReportedLimit]) -> None:
         """Apply limits that another node reported; invalid ones are ignored."""
         now = read_clock()
         for limit in reported:
@@ -115,7 +115,7 @@
         logger.debug("reported rate limit ignored", extra={"server": server, "rate_limit": rate, "age": age})
         return False
 
-    def answer(self, body: bytes) -> bytes | None:
+    def answer_request(self, body: bytes) -> bytes | None:
         """Answer a permit request of another node; None if the request is invalid."""
         try:
             request = msgspec.json.decode(body, type=PermitRequest)
@@ -161,4 +161,4 @@
         return permit if self._is_valid(server, permit.rate, permit.age) else None
 
 
-__all__ = ["PERMITS_PATH", "PermitReply", "PermitRequest", "Permits", "ToldLimit"]
+__all__ = ["PERMITS_PATH", "PermitReply", "PermitRequest", "Permits", "ReportedLimit"]
--- a/packages/node/src/vaneturn_node/traffic/servers/signals.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/signals.py
@@ -11,7 +11,7 @@
     def __init__(self) -> None:
         self._event = anyio.Event()
 
-    def give(self) -> None:
+    def notify(self) -> None:
         """Wake the task."""
         self._event.set()
 
--- a/packages/node/src/vaneturn_node/traffic/serving/chainhold.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/chainhold.py
@@ -67,7 +67,7 @@
         """Take note of a lost part, once while it is silent."""
         if part.server.id not in self._work.avoided:
             self._work.avoided.add(part.server.id)
-            self._parts.note_lost(part.server.id)
+            self._parts.record_loss(part.server.id)
 
     def note_refusal(self, facts: AnswerFacts) -> BackendServer:
         """Take note of a refusal, which names the part of the chain at fault; gives its server."""
@@ -77,7 +77,7 @@
             self._parts.beliefs[faulty.id].is_replaced = True
         elif facts.faulty is not None:  # dead, without the layers, or full: the next requests need not find out again
             fullness = self._chooser.estimate_server(faulty, is_first=faulty is self.first)
-            self._parts.note_refusal(faulty.id, fullness)
+            self._parts.record_refusal(faulty.id, fullness)
         return faulty
 
     def find_detour(self) -> Chain | None:
@@ -85,7 +85,7 @@
 
         The first part stays: its server makes the answer.
         """
-        choosable = self._parts.list_choosable(self._work.service, self._work.avoided)
+        choosable = self._parts.list_eligible(self._work.service, self._work.avoided)
         kept = [part for part in self.chain.parts if part is self.chain.parts[0] or not self._is_avoided(part)]
         parts: list[Part] = []
         for part in self.chain.parts:
--- a/packages/node/src/vaneturn_node/traffic/serving/heads.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/heads.py
@@ -31,7 +31,7 @@
     if facts.id is not None and facts.id != work.facts.id:
         raise LinkError("answer to another request", was_sent=True)
     if not facts.is_wrong_server:
-        parts.directives.take(hold.first, facts.directives, hold.sent_at)
+        parts.directives.apply(hold.first, facts.directives, hold.sent_at)
     if head.status not in SUCCESS:
         return await _take_failure(parts, work, hold, link, head)
     if not facts.is_sealed:
--- a/packages/node/src/vaneturn_node/traffic/serving/plain.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/plain.py
@@ -36,7 +36,7 @@
 
     async def forward(self, work: RequestInProgress) -> Answered | OwnAnswer:
         """Get an answer."""
-        budget = self._parts.find_budget(work.service)
+        budget = self._parts.get_retry_budget(work.service)
         last: TryOutcome | None = None
         failure: Answered | None = None  # a server's own failure, given if nothing better comes
         while work.sends < MAX_SENDS and work.left > 0:
@@ -54,7 +54,7 @@
                 continue
             last = await self._try(work, server)
             if isinstance(last, Answered):
-                self._parts.crash_watch.note_sound(server, work.content)
+                self._parts.crash_watch.record_success(server, work.content)
                 if last.status < SERVER_FAULT or not work.may_run_again:
                     return last
                 failure = last
@@ -112,7 +112,7 @@
             work.note(f"{server.id} {outcome.cause}")
             if isinstance(outcome, MayHaveRun) or outcome.is_silent:
                 belief.latency = max(belief.latency, seconds)
-                if await self._parts.hears_others({server.id}, started):
+                if await self._parts.can_reach_others({server.id}, started):
                     belief.record_failure(read_clock())
         return outcome
 
@@ -145,7 +145,7 @@
                 return NotRun(error.cause, is_silent=True)
             work.runs += 1
             if not error.is_silence:
-                await self._parts.crash_watch.note_cut(server, work.content, Suspicion.UNHEARD)
+                await self._parts.crash_watch.record_cut_connection(server, work.content, Suspicion.UNHEARD)
             return MayHaveRun(error.cause)
         finally:
             if link is not None:
@@ -169,7 +169,7 @@
         if facts.id is not None and facts.id != work.facts.id:
             raise LinkError("answer to another request", was_sent=True)
         if not facts.is_wrong_server:
-            self._parts.directives.take(server, facts.directives, sent_at)
+            self._parts.directives.apply(server, facts.directives, sent_at)
         if facts.was_refused:
             belief.is_replaced = belief.is_replaced or facts.is_wrong_server
             return NotRun(f"refused with {head.status}")
--- a/packages/node/src/vaneturn_node/traffic/serving/repair.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/repair.py
@@ -53,7 +53,7 @@
     @property
     def should_look_soon(self) -> bool:
         """Tell whether the newest look says little."""
-        return self._finder.should_ask_soon
+        return self._finder.should_check_soon
 
     async def look_for_loss(self) -> None:
         """Look for lost parts, and go round them, or on with another try.
@@ -63,10 +63,10 @@
         pace = self._client.pace
         pace.mark(Stage.LOOKED, read_clock())
         borne = pace.find_stage(Stage.LOOKED)
-        losses = await self._finder.find(self._hold.chain, usual_pause=pace.usual, borne=borne)
-        if losses.is_first_gone or losses.parts:
+        losses = await self._finder.find(self._hold.chain, mean_gap=pace.usual, tolerated_silence=borne)
+        if losses.is_first_lost or losses.parts:
             pace.mark(Stage.FOUND, read_clock())
-        if losses.is_first_gone:
+        if losses.is_first_lost:
             await self._pass_lost_first()
         elif self._hold.chain.parts[0] in losses.parts:
             await self._move("first server stalls", is_gone=False)
--- a/packages/node/src/vaneturn_node/traffic/serving/streams.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streams.py
@@ -83,10 +83,10 @@
     ) -> StreamTry | Lack:
         """Prepare a try: a chain for it and, if it is not the first, its part of the retry budget."""
         chooser = self._make_chooser(work, engine, is_begun=client.is_begun)
-        chain = chooser.choose(self._parts.list_choosable(work.service, work.avoided))
+        chain = chooser.choose(self._parts.list_eligible(work.service, work.avoided))
         if chain is None:
             return Lack.CROSSING if chooser.is_crossing_refused else Lack.CHAIN
-        budget = self._parts.find_budget(work.service)
+        budget = self._parts.get_retry_budget(work.service)
         if not work.sends:
             budget.record_first()
         elif not budget.spend():
@@ -114,7 +114,7 @@
         prompt = work.facts.prompt_tokens or engine.usual_prompt
         nodes = self._parts.view.count_nodes()
         return ChainChooser(
-            layer_map=self._parts.find_layer_map(work.service, engine),
+            layer_map=self._parts.get_layer_map(work.service, engine),
             beliefs=self._parts.beliefs,
             node=self._parts.vm,
             hall=self._parts.hall,
--- a/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
@@ -112,7 +112,7 @@
     async def _converse(self) -> TryOutcome | None:
         work = self._work
         if not await self._parts.permits.obtain(self._first.id):
-            self._parts.find_budget(work.service).take_back(is_first=not work.sends)
+            self._parts.get_retry_budget(work.service).take_back(is_first=not work.sends)
             return NotRun(f"{self._first.id} has no room by its rate limit", is_limited=True)
         work.sends += 1
         self._client.pace.mark(Stage.WENT_ON, read_clock())
@@ -145,7 +145,7 @@
             data = await self._wait_for(link.read_data, overdue)
             if data is None:
                 await self._client.end(splitter)
-                self._parts.crash_watch.note_sound(self._first, self._work.content)
+                self._parts.crash_watch.record_success(self._first, self._work.content)
                 return
             passed = await self._client.pass_on(splitter, data)
             if passed:
@@ -160,7 +160,7 @@
         self._heard_from = min(self._heard_from, now)
         if not self._work.is_sound and now - self._heard_from >= STARTING_TIME:
             self._work.is_sound = True
-            self._parts.crash_watch.note_sound(self._first, self._work.content)
+            self._parts.crash_watch.record_success(self._first, self._work.content)
 
     async def _close(self, *, is_whole: bool) -> None:
         """Give back what was reserved; a server whose answer has not ended stops its work."""
@@ -173,12 +173,12 @@
     async def _note_lost(self, error: LinkError) -> TryOutcome:
         """Decide what a lost connection says of the first server, and of the request."""
         self._work.avoided.add(self._first.id)
-        if not error.is_silence or await self._parts.hears_others({self._first.id}, self._hold.taken_at):
-            self._parts.note_lost(self._first.id)
+        if not error.is_silence or await self._parts.can_reach_others({self._first.id}, self._hold.taken_at):
+            self._parts.record_loss(self._first.id)
         if not error.was_sent:
             return NotRun(error.cause, is_silent=True)
         self._hold.count_run()
-        if not error.is_silence and await self._parts.crash_watch.note_cut(
+        if not error.is_silence and await self._parts.crash_watch.record_cut_connection(
             self._first, self._work.content, self._suspicion
         ):
             self._hold.uncount_run()
@@ -217,7 +217,7 @@
             raise TryOverError(MayHaveRun(cause))
         work = self._work
         if is_gone and self._suspicion is not None:
-            self._parts.crash_watch.note_silent(self._first, work.content, self._suspicion)
+            self._parts.crash_watch.record_unresponsive(self._first, work.content, self._suspicion)
         runs = work.runs + (not self._hold.is_counted) - is_gone
         if not work.route.may_repeat or runs >= work.route.max_attempts:
             work.note_wait(f"{cause}; waits")
--- a/packages/node/src/vaneturn_node/traffic/sharing/changeclient.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changeclient.py
@@ -97,7 +97,7 @@
         if total is not None:
             self._board.take_total(total, loads)
         self._losses.take_confirmed(word.losses, address)
-        self._permits.take_news(word.limits)
+        self._permits.apply_reported_limits(word.limits)
         return RelayedChanges(word.revision, word.changes, contact)
 
     async def tell_loads(self, address: str, loads: Loads) -> None:
@@ -105,7 +105,7 @@
         await send_word(self._caller, address, LOADS_PATH, TELL_TIME, self._make_word(loads))
 
     def _make_word(self, loads: Loads) -> ToldLoads:
-        return ToldLoads(self._vm, pack_loads(loads), self._crashes.check, self._permits.list_news())
+        return ToldLoads(self._vm, pack_loads(loads), self._crashes.check, self._permits.list_changed_limits())
 
 
 def _compute_time(now: float, age: float | None) -> float:
--- a/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
@@ -90,13 +90,13 @@
             await answer.send_whole(OK, [], b"")
             return
         if request.path == PERMITS_PATH:
-            permit = self._permits.answer(request.body)
+            permit = self._permits.answer_request(request.body)
             await answer.send_whole(OK if permit is not None else 400, _JSON, permit or b"")
             return
         told = decode_told(request.body, self._view.servers)
         if told is not None:
             self._crashes.compare(told.vm, told.crashes)
-            self._permits.take_news(told.limits)
+            self._permits.apply_reported_limits(told.limits)
         if request.path == LOADS_PATH and told is not None:
             self._board.take_relay(told.vm, told.loads)
             await answer.send_whole(OK, [], b"")
@@ -135,7 +135,7 @@
             returned_age=_compute_age(now, contact.returned_at),
             loads=self._pack_all(now),
             losses=self._losses.pack_confirmed(now),
-            limits=self._permits.list_news(),
+            limits=self._permits.list_changed_limits(),
         )
         await answer.send_whole(OK, _JSON, msgspec.json.encode(word))
 
--- a/packages/node/src/vaneturn_node/traffic/sharing/crashsharing.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/crashsharing.py
@@ -65,7 +65,7 @@
         self._told = board.check  # checksum of what this node has reported
         self._behind: set[VmId] = set()  # nodes whose checksum differs
         self._answered: dict[VmId, tuple[int, int, float]] = {}  # their checksum, the own one, time of the report
-        board.listeners.append(self._has_news.give)
+        board.listeners.append(self._has_news.notify)
 
     @property
     def check(self) -> int:
@@ -91,7 +91,7 @@
         self._answered = {one: told for one, told in self._answered.items() if one in self._view.nodes}
         self._answered[vm] = check, own, now
         self._behind.add(vm)
-        self._has_news.give()
+        self._has_news.notify()
 
     def take(self, body: bytes) -> None:
         """Handle the report of another node."""
--- a/packages/node/src/vaneturn_node/traffic/sharing/losssharing.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/losssharing.py
@@ -72,7 +72,7 @@
             self._parts.losses.take_relay(word.vm, findings, self._list_own())
         else:
             self._parts.losses.take_follower(word.vm, findings, self._list_own())
-            self._parts.loss_found.give()
+            self._parts.loss_found.notify()
         if self.version != before:
             self._adopt(self._parts.losses.list_confirmed(self._list_own()), word.vm)
             self._log.wake()  # answers the followers that are waiting for changes
--- a/tests/node/traffic/following/test_serverentries.py
+++ b/tests/node/traffic/following/test_serverentries.py
@@ -163,7 +163,7 @@
     fresh = node.beliefs[second.id]
     assert (fresh.resting_until, fresh.is_replaced, fresh.leading, fresh.reserved) == (float("-inf"), False, 0, 0.0)
     assert node.parts.crashes.list_ends_under(Content(1)) == [first.id]  # the previous start has crashed
-    assert list(node.parts.list_choosable(second.service, [])) == [second]
+    assert list(node.parts.list_eligible(second.service, [])) == [second]
 
 
 def test_word_of_an_older_start_changes_nothing() -> None:
--- a/tests/node/traffic/servers/test_lossfinding.py
+++ b/tests/node/traffic/servers/test_lossfinding.py
@@ -64,8 +64,8 @@
 
 
 async def find_lost(finder: LossFinder) -> tuple[list[str], bool]:
-    losses = await finder.find(CHAIN, usual_pause=0.0)
-    return [part.server.address for part in losses.parts], losses.is_first_gone
+    losses = await finder.find(CHAIN, mean_gap=0.0)
+    return [part.server.address for part in losses.parts], losses.is_first_lost
 
 
 async def test_part_that_is_silent_beside_the_others_is_lost_at_once() -> None:
@@ -109,11 +109,11 @@
     parts = make_node(servers)
     finder = make_finder(parts)
     assert await find_lost(finder) == ([], False)
-    assert finder.should_ask_soon
+    assert finder.should_check_soon
     servers.silent.clear()
     await anyio.sleep(0.1)
     assert await find_lost(finder) == ([], False)
-    assert not finder.should_ask_soon
+    assert not finder.should_check_soon
 
 
 async def test_part_that_had_just_worked_is_asked_soon_after() -> None:
@@ -122,11 +122,11 @@
     parts = make_node(servers)
     finder = make_finder(parts)
     parts.beliefs[SERVERS[2].id].record_token(read_clock())
-    losses = await finder.find(CHAIN, usual_pause=0.025, borne=0.07)
+    losses = await finder.find(CHAIN, mean_gap=0.025, tolerated_silence=0.07)
     assert not losses.parts
-    assert finder.should_ask_soon
+    assert finder.should_check_soon
     await anyio.sleep(0.06)
-    losses = await finder.find(CHAIN, usual_pause=0.025, borne=0.07)
+    losses = await finder.find(CHAIN, mean_gap=0.025, tolerated_silence=0.07)
     assert [part.server.address for part in losses.parts] == [SERVERS[2].address]
 
 
@@ -136,5 +136,5 @@
     parts = make_node(servers)
     for server in SERVERS[:PARTS]:
         parts.beliefs[server.id].record_token(read_clock() - 0.07)
-    losses = await make_finder(parts).find(CHAIN, usual_pause=0.025, borne=0.07)
+    losses = await make_finder(parts).find(CHAIN, mean_gap=0.025, tolerated_silence=0.07)
     assert [part.server.address for part in losses.parts] == [SERVERS[2].address]
--- a/tests/node/traffic/servers/test_permits.py
+++ b/tests/node/traffic/servers/test_permits.py
@@ -55,12 +55,12 @@
             return Failed("no answer in time", was_sent=True)
         if self.spoilt is not None:
             return Reply(200, self.spoilt)
-        body = self.nodes[VmId(address)].permits.answer(sent["body"])
+        body = self.nodes[VmId(address)].permits.answer_request(sent["body"])
         return Reply(200, body) if body is not None else Reply(400, b"")
 
     def tell(self, node: VmId, rate: float | None) -> None:
         """Let the server send a limit, or its end, to a node."""
-        self.nodes[node].directives.take(SERVER, ServerDirectives(rate), read_clock())
+        self.nodes[node].directives.apply(SERVER, ServerDirectives(rate), read_clock())
 
 
 @pytest.fixture
@@ -96,7 +96,7 @@
     parts = network.nodes[ASKER]
     assert not parts.beliefs[SERVER.id].may_take_request(read_clock())
     assert parts.list_accepting(SERVER.service, ()) == []
-    assert parts.list_choosable(SERVER.service, ()) == [SERVER]  # later parts of chains need no permit
+    assert parts.list_eligible(SERVER.service, ()) == [SERVER]  # later parts of chains need no permit
 
 
 async def test_second_issuer_stands_in_for_one_that_is_silent(network: Network) -> None:
@@ -121,7 +121,7 @@
     await count_permits(network, ASKER, 3)
     network.tell(SECOND, None)
     assert await count_permits(network, SECOND, 3) == 3
-    network.nodes[FIRST].permits.take_news(network.nodes[SECOND].permits.list_news())
+    network.nodes[FIRST].permits.apply_reported_limits(network.nodes[SECOND].permits.list_changed_limits())
     assert await count_permits(network, ASKER, 3) == 3
 
 
@@ -143,7 +143,7 @@
 )  # fmt: skip
 def test_question_that_is_not_understood_changes_nothing(network: Network, body: bytes) -> None:
     issuer = network.nodes[FIRST]
-    assert issuer.permits.answer(body) is None
+    assert issuer.permits.answer_request(body) is None
     assert issuer.limits.list_limited() == {}
 
 
--- a/tests/node/traffic/sharing/test_changes.py
+++ b/tests/node/traffic/sharing/test_changes.py
@@ -21,7 +21,7 @@
 from vaneturn_node.http1.pool import LinkPool
 from vaneturn_node.http1.server import ClientRequest
 from vaneturn_node.platform.store import StoreItem
-from vaneturn_node.traffic.servers.permits import ToldLimit
+from vaneturn_node.traffic.servers.permits import ReportedLimit
 from vaneturn_node.traffic.sharing.changeclient import ChangeClient, NoChanges, RelayedChanges
 from vaneturn_node.traffic.sharing.changelog import ChangeLog
 from vaneturn_node.traffic.sharing.changeserver import CHANGES_PATH, ChangeServer
@@ -139,14 +139,16 @@
     """Otherwise each node keeps its rate until a server's answer to it contains the limit."""
     relay, other = Relay(), Relay()
     teller, _ = make_client(Wire(relay.server), "entry-2")
-    teller._permits.take_news([ToldLimit("i-1", 2.5, 0.0), ToldLimit("i-9", 2.5, 0.0), ToldLimit("i-1", -1.0, 0.0)])
+    teller._permits.apply_reported_limits(
+        [ReportedLimit("i-1", 2.5, 0.0), ReportedLimit("i-9", 2.5, 0.0), ReportedLimit("i-1", -1.0, 0.0)]
+    )
     relay.hear(StoreItem("servers/i-1", b"entry", 6), revision=6)
     await teller.ask("relay", 5)
     asker, _ = make_client(Wire(relay.server), "entry-3")
     await asker.ask("relay", 5)
-    assert [(one.server, one.rate) for one in asker._permits.list_news()] == [("i-1", 2.5)]
+    assert [(one.server, one.rate) for one in asker._permits.list_changed_limits()] == [("i-1", 2.5)]
     between_relays, _ = make_client(Wire(other.server), "entry-1")
-    between_relays._permits.take_news(relay.parts.permits.list_news())
+    between_relays._permits.apply_reported_limits(relay.parts.permits.list_changed_limits())
     await between_relays.tell_loads("relay", {})
     assert other.parts.limits.list_limited() == {BUSY: 2.5}
 
--- a/tests/node/traffic/sharing/test_losssharing.py
+++ b/tests/node/traffic/sharing/test_losssharing.py
@@ -63,7 +63,7 @@
         for node in list(fleet.nodes.values()):
             tasks.start_soon(node.sharing.run)
         for vm in finders:
-            fleet.nodes[vm].parts.note_lost(LOST)
+            fleet.nodes[vm].parts.record_loss(LOST)
         await anyio.sleep(4 * GATHER)
         tasks.cancel_scope.cancel()
 
@@ -109,7 +109,7 @@
     """Each stream on a server checks for itself; five must not turn one silence of 0.1 s into 8 s of backoff."""
     node = Node(NODES[0], Fleet())
     for _ in range(5):
-        node.parts.note_lost(LOST)
+        node.parts.record_loss(LOST)
     assert node.beliefs[LOST].resting_until <= time.monotonic() + FIRST_REST
 
 
@@ -117,7 +117,7 @@
     node = Node(NODES[0], Fleet())
     servers = [make_server(number, "a100") for number in range(1, 5)]
     for _ in range(3):
-        node.parts.note_lost(LOST)
+        node.parts.record_loss(LOST)
         await anyio.sleep(0.01)
     node.beliefs[LOST].record_token(time.monotonic())
     assert servers[0] in node.beliefs.list_choosable(servers, [], time.monotonic())
@@ -134,7 +134,7 @@
     assert fleet.nodes[one].is_resting()
     for vm in finders:
         fleet.nodes[vm].beliefs[LOST].record_token(time.monotonic())
-        fleet.nodes[vm].parts.loss_found.give()
+        fleet.nodes[vm].parts.loss_found.notify()
     await lose_at(fleet, [])
     confirmed = [node.parts.losses.list_confirmed({}) for node in fleet.nodes.values()]
     assert not any(confirmed)
--- a/tests/rig/ablation.py
+++ b/tests/rig/ablation.py
@@ -74,11 +74,7 @@
     Mechanism(
         "very-slow-parts",
         "answers with long pauses over a slow server",
-        (
-            Edit(
-                f"{TRAFFIC}/servers/lossfinding.py", "if usual_pause >= SLOW_GAP_S:", "if usual_pause >= float('inf'):"
-            ),
-        ),
+        (Edit(f"{TRAFFIC}/servers/lossfinding.py", "if mean_gap >= SLOW_GAP_S:", "if mean_gap >= float('inf'):"),),
     ),
     Mechanism(
         "kept-connections",
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -60,7 +60,7 @@
     Proof(
         "nodes tell each other of rate limits",
         "tests/node/traffic/sharing/test_changes.py::test_rate_limit_that_one_node_was_told_reaches_all_others",
-        (Edit(f"{TRAFFIC}/sharing/changeserver.py", "            limits=self._permits.list_news(),\n", ""),),
+        (Edit(f"{TRAFFIC}/sharing/changeserver.py", "            limits=self._permits.list_changed_limits(),\n", ""),),
     ),
     Proof(
         "a node that has just become the issuer issues a small share",
