--- a/packages/node/src/vaneturn_node/traffic/sharing/changeclient.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changeclient.py
@@ -29,7 +29,7 @@
 )
 from vaneturn_node.traffic.sharing.serverrows import pack_loads
 
-TELL_TIME: Final = 0.5  # seconds until a report of loads times out; the next report replaces a lost one
+REPORT_TIMEOUT_S: Final = 0.5  # time until a report of loads times out; the next report replaces a lost one
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,33 +78,33 @@
         """Ask a relay for the changes after a revision, and wait until it has some."""
         started = read_clock()
         loads = self._beliefs.list_loads()
-        body = msgspec.json.encode(self._make_word(loads))
+        body = msgspec.json.encode(self._make_report(loads))
         reply = await self._caller.call(address, "POST", f"{CHANGES_PATH}?since={since}", self._times.ask, body=body)
         if isinstance(reply, Reply) and reply.status == OUT_OF_TOUCH:
             return NoChanges.OUT_OF_TOUCH
-        word = decode_reply(reply, RelayWord)
-        if word is None:
+        answer = decode_reply(reply, RelayWord)
+        if answer is None:
             return NoChanges.NO_ANSWER
-        told_at = started + max(0.0, word.held)
+        sent_at = started + max(0.0, answer.held)
         contact = StoreContact(
-            _compute_time(told_at, word.confirmed_age),
-            _compute_time(told_at, word.failed_age),
-            _compute_time(told_at, word.returned_age),
+            _compute_time(sent_at, answer.confirmed_age),
+            _compute_time(sent_at, answer.failed_age),
+            _compute_time(sent_at, answer.returned_age),
         )
         if read_clock() - contact.confirmed_at > self._times.ask:
             return NoChanges.NO_ANSWER
-        total = unpack_total(word.loads, self._view.servers)
+        total = unpack_total(answer.loads, self._view.servers)
         if total is not None:
             self._board.take_total(total, loads)
-        self._losses.take_confirmed(word.losses, address)
-        self._permits.apply_reported_limits(word.limits)
-        return RelayedChanges(word.revision, word.changes, contact)
+        self._losses.take_confirmed(answer.losses, address)
+        self._permits.apply_reported_limits(answer.limits)
+        return RelayedChanges(answer.revision, answer.changes, contact)
 
     async def tell_loads(self, address: str, loads: Loads) -> None:
         """Report the load of this relay and its followers to another relay; the next report replaces a lost one."""
-        await send_word(self._caller, address, LOADS_PATH, TELL_TIME, self._make_word(loads))
+        await send_word(self._caller, address, LOADS_PATH, REPORT_TIMEOUT_S, self._make_report(loads))
 
-    def _make_word(self, loads: Loads) -> ToldLoads:
+    def _make_report(self, loads: Loads) -> ToldLoads:
         return ToldLoads(self._vm, pack_loads(loads), self._crashes.check, self._permits.list_changed_limits())
 
 
--- a/packages/node/src/vaneturn_node/traffic/sharing/changelog.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changelog.py
@@ -12,13 +12,13 @@
 from vaneturn_node.platform.store import StoreItem
 from vaneturn_node.traffic.sharing.difference import MAX_VALUE_BYTES, compute_difference, compute_digest, pack, unpack
 
-KEPT_CHANGES: Final = 512  # about 0.4 KB each; a node asks again within 1.3 s
-PACKED_FROM: Final = 1024  # bytes; shorter values gain nothing from compression
+MAX_CHANGES: Final = 512  # about 0.4 KB each; a node asks again within 1.3 s
+MIN_PACKED_BYTES: Final = 1024  # shorter values gain nothing from compression
 # Longest value, as sent, that is included in the changes: for 48 nodes it takes 0.26 MB, 0.1 s over a 20 Mbit/s link.
 # For a longer value the difference from the previous version is sent instead, if it fits in this size.
 MAX_RELAYED_BYTES: Final = 4096
-KEPT_BASES: Final = 4  # older versions of a long value, 0.4 MB each, for nodes that do not know the latest one yet
-BASE_TIME: Final = 5.0  # seconds for which these versions are kept; a node asks again within 1.8 s
+MAX_BASES: Final = 4  # older versions of a long value, 0.4 MB each, for nodes that do not know the latest one yet
+BASE_AGE_S: Final = 5.0  # time for which these versions are kept; a node asks again within 1.8 s
 
 
 class Change(Struct, frozen=True, omit_defaults=True):
@@ -48,13 +48,13 @@
 
     def __init__(self) -> None:
         self._changes: dict[str, StoreItem] = {}  # by key
-        self._told: dict[str, dict[int | None, Change]] = {}  # by key and revision of the base, made on first request
+        self._prepared: dict[str, dict[int | None, Change]] = {}  # by key and base revision, made on first request
         self._bases: dict[str, list[tuple[float, StoreItem]]] = {}  # by key, older long versions and when replaced
         self._state: dict[str, int] = {}  # the revision of each key that the store holds
         self._long: dict[str, StoreItem] = {}  # by key, values that may be too long for the changes
         self._complete_after: int | None = None  # every change after this revision is kept
         self.revision = 0
-        self._heard = anyio.Event()
+        self._updated = anyio.Event()
 
     def replace(self, items: Iterable[StoreItem], revision: int) -> None:
         """Apply the whole state at a revision; differences from the previous state are logged as changes.
@@ -77,7 +77,7 @@
     def append(self, items: Iterable[StoreItem], revision: int) -> None:
         """Append the changes up to a revision; there are none if the store only confirmed that nothing has changed."""
         self._log(items)
-        self._forget_bases()
+        self._drop_old_bases()
         self.revision = max(self.revision, revision)
         self.wake()
 
@@ -85,7 +85,7 @@
         """List the changes after a revision; None if some of them are no longer kept."""
         if self._complete_after is None or revision < self._complete_after:
             return None
-        return [self._tell(item, revision) for item in self._changes.values() if item.revision > revision]
+        return [self._prepare_change(item, revision) for item in self._changes.values() if item.revision > revision]
 
     def find_long(self, key: str) -> StoreItem | None:
         """Return the latest value of a key if it may be too long for the changes."""
@@ -93,51 +93,51 @@
 
     async def wait(self) -> None:
         """Wait for the next update or confirmation from the store, or for a failure to reach it."""
-        await self._heard.wait()
+        await self._updated.wait()
 
     def wake(self) -> None:
         """Wake the waiting tasks: the store has responded, or could not be reached."""
-        self._heard.set()
-        self._heard = anyio.Event()
+        self._updated.set()
+        self._updated = anyio.Event()
 
     def _log(self, items: Iterable[StoreItem]) -> None:
         for item in items:
             self._keep_base(item)
-            for known in (self._changes, self._told, self._state, self._long):
-                known.pop(item.key, None)
+            for by_key in (self._changes, self._prepared, self._state, self._long):
+                by_key.pop(item.key, None)
             self._changes[item.key] = item
             if _is_long(item):
                 self._long[item.key] = item
             if item.value is not None:
                 self._state[item.key] = item.revision
-        while len(self._changes) > KEPT_CHANGES:
+        while len(self._changes) > MAX_CHANGES:
             oldest = next(iter(self._changes))
-            self._told.pop(oldest, None)
+            self._prepared.pop(oldest, None)
             self._complete_after = max(self._complete_after or 0, self._changes.pop(oldest).revision)
 
     def _keep_base(self, item: StoreItem) -> None:
         """Keep the version that an item replaces, if both are long."""
-        old = self._long.get(item.key)
-        if old is None or not _is_long(item):
+        previous = self._long.get(item.key)
+        if previous is None or not _is_long(item):
             self._bases.pop(item.key, None)
-        elif old.revision != item.revision:
+        elif previous.revision != item.revision:
             kept = self._bases.get(item.key, [])
-            self._bases[item.key] = [*kept, (read_clock(), old)][-KEPT_BASES:]
+            self._bases[item.key] = [*kept, (read_clock(), previous)][-MAX_BASES:]
 
-    def _forget_bases(self) -> None:
-        oldest = read_clock() - BASE_TIME
+    def _drop_old_bases(self) -> None:
+        oldest = read_clock() - BASE_AGE_S
         for key, kept in list(self._bases.items()):
             self._bases[key] = [(at, item) for at, item in kept if at > oldest]
 
-    def _tell(self, item: StoreItem, since: int) -> Change:
+    def _prepare_change(self, item: StoreItem, since: int) -> Change:
         """Return an item as a change for a node that knows the state up to a revision."""
         kept = [base for _, base in self._bases.get(item.key, []) if base.revision <= since]
         base = kept[-1] if kept else None
-        told = self._told.setdefault(item.key, {})
-        number = base.revision if base is not None else None
-        if number not in told:
-            told[number] = _make_change(item, base)
-        return told[number]
+        prepared = self._prepared.setdefault(item.key, {})
+        base_revision = base.revision if base is not None else None
+        if base_revision not in prepared:
+            prepared[base_revision] = _make_change(item, base)
+        return prepared[base_revision]
 
 
 def _is_long(item: StoreItem) -> bool:
@@ -145,7 +145,7 @@
 
 
 def _make_change(item: StoreItem, base: StoreItem | None) -> Change:
-    if item.value is None or len(item.value) < PACKED_FROM:
+    if item.value is None or len(item.value) < MIN_PACKED_BYTES:
         return Change(item.key, item.revision, item.value)
     if base is not None and base.value is not None:
         difference = compute_difference(base.value, item.value)
@@ -166,4 +166,4 @@
     return Change(item.key, item.revision, packed, is_packed=True)
 
 
-__all__ = ["KEPT_CHANGES", "MAX_RELAYED_BYTES", "MAX_VALUE_BYTES", "Change", "ChangeLog"]
+__all__ = ["MAX_CHANGES", "MAX_RELAYED_BYTES", "MAX_VALUE_BYTES", "Change", "ChangeLog"]
--- a/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
@@ -36,7 +36,7 @@
 LOADS_PATH: Final = "/loads"
 # Seconds since the last bytes from the store for which its answer counts as still arriving;
 # 64 KB take 0.026 s over a 20 Mbit/s link.
-ARRIVING_TIME: Final = 0.2
+ARRIVING_TIMEOUT_S: Final = 0.2
 _GONE: Final = 410
 OUT_OF_TOUCH: Final = 503
 _JSON: Final = [(b"content-type", b"application/json")]
@@ -93,20 +93,20 @@
             permit = self._permits.answer_request(request.body)
             await answer.send_whole(OK if permit is not None else 400, _JSON, permit or b"")
             return
-        told = decode_told(request.body, self._view.servers)
-        if told is not None:
-            self._crashes.compare(told.vm, told.crashes)
-            self._permits.apply_reported_limits(told.limits)
-        if request.path == LOADS_PATH and told is not None:
-            self._board.take_relay(told.vm, told.loads)
+        report = decode_told(request.body, self._view.servers)
+        if report is not None:
+            self._crashes.compare(report.vm, report.crashes)
+            self._permits.apply_reported_limits(report.limits)
+        if request.path == LOADS_PATH and report is not None:
+            self._board.take_relay(report.vm, report.loads)
             await answer.send_whole(OK, [], b"")
             return
         since = query.get("since", [""])[0]
         if request.path != CHANGES_PATH or not since.isdigit():
             await answer.send_whole(404, [], b"")
             return
-        if told is not None:
-            self._board.take_follower(told.vm, told.loads)
+        if report is not None:
+            self._board.take_follower(report.vm, report.loads)
         await self._answer_changes(int(since), request.arrived, answer)
 
     async def _answer_changes(self, since: int, arrived: float, answer: ClientAnswer) -> None:
@@ -114,19 +114,21 @@
         self._asked_at = read_clock()
         losses = self._losses.version
         confirmed_at = self._view.contact.confirmed_at
-        is_heard = await self._hear(since, confirmed_at, losses, self._times.hold)
-        if not is_heard and self._is_arriving():  # the store's answer is late because it is long
-            is_heard = await self._hear(since, confirmed_at, losses, self._times.hold_arriving - self._times.hold)
+        has_news = await self._wait_for_news(since, confirmed_at, losses, self._times.hold)
+        if not has_news and self._is_arriving():  # the store's answer is late because it is long
+            has_news = await self._wait_for_news(
+                since, confirmed_at, losses, self._times.hold_arriving - self._times.hold
+            )
         changes = self._log.list_since(since)
         if changes is None:
             await answer.send_whole(_GONE, [], b"")
             return
-        if not is_heard or self._is_in_trouble():
+        if not has_news or self._has_store_failed():
             await answer.send_whole(OUT_OF_TOUCH, [], b"")
             return
         now = read_clock()
         contact = self._view.contact
-        word = RelayWord(
+        message = RelayWord(
             revision=self._log.revision,
             changes=changes,
             held=now - arrived,
@@ -137,9 +139,9 @@
             losses=self._losses.pack_confirmed(now),
             limits=self._permits.list_changed_limits(),
         )
-        await answer.send_whole(OK, _JSON, msgspec.json.encode(word))
+        await answer.send_whole(OK, _JSON, msgspec.json.encode(message))
 
-    async def _hear(self, since: int, confirmed_at: float, losses: int, limit: float) -> bool:
+    async def _wait_for_news(self, since: int, confirmed_at: float, losses: int, limit: float) -> bool:
         """Wait until there is news to send; return False on timeout."""
         with anyio.move_on_after(limit):
             while self._log.list_since(since) == [] and not self._has_news(confirmed_at, losses):
@@ -148,7 +150,7 @@
         return False
 
     def _is_arriving(self) -> bool:
-        return read_clock() - self.arrival.at < ARRIVING_TIME
+        return read_clock() - self.arrival.at < ARRIVING_TIMEOUT_S
 
     def _has_news(self, confirmed_at: float, losses: int) -> bool:
         """Check for a newer confirmation, a store failure, or a loss while the state is recent enough for the asker.
@@ -160,7 +162,7 @@
         return (
             contact.confirmed_at != confirmed_at
             or (self._losses.version != losses and is_fresh)
-            or self._is_in_trouble()
+            or self._has_store_failed()
         )
 
     def _pack_all(self, now: float) -> bytes:
@@ -170,7 +172,7 @@
             self._packed_at = now
         return self._packed
 
-    def _is_in_trouble(self) -> bool:
+    def _has_store_failed(self) -> bool:
         return self._view.contact.is_in_trouble
 
 
--- a/packages/node/src/vaneturn_node/traffic/sharing/crashsharing.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/crashsharing.py
@@ -26,12 +26,12 @@
 from vaneturn_node.traffic.sharing.peerwords import send_word
 
 CRASHES_PATH: Final = "/crashes"
-GATHER: Final = 0.01  # seconds from a change to its report; all requests on a server notice its crash together
-TELL_GAP: Final = 0.1  # seconds between two reports of a node
-TELL_TIME: Final = 0.3  # seconds until a report times out; checksums reveal lost reports
+GATHER_TIME_S: Final = 0.01  # time from a change to its report; all requests on a server notice its crash together
+REPORT_GAP_S: Final = 0.1  # time between two reports of a node
+REPORT_TIMEOUT_S: Final = 0.3  # time until a report times out; checksums reveal lost reports
 # Seconds until the same report is sent again to a node with a different checksum. If there are more crashes than are
 # kept, the checksums of two nodes may never agree.
-TELL_AGAIN: Final = 2.0
+REPEAT_AFTER_S: Final = 2.0
 
 logger = logging.getLogger(__name__)
 
@@ -62,9 +62,9 @@
         self._view = view
         self._caller = caller
         self._has_news = Signal()
-        self._told = board.check  # checksum of what this node has reported
-        self._behind: set[VmId] = set()  # nodes whose checksum differs
-        self._answered: dict[VmId, tuple[int, int, float]] = {}  # their checksum, the own one, time of the report
+        self._reported_check = board.check  # checksum of what this node has reported
+        self._differing: set[VmId] = set()  # nodes whose checksum differs
+        self._reported_to: dict[VmId, tuple[int, int, float]] = {}  # their checksum, the own one, time of the report
         board.listeners.append(self._has_news.notify)
 
     @property
@@ -76,47 +76,47 @@
         """Send reports until cancelled."""
         while True:
             await self._has_news.wait()
-            await anyio.sleep(GATHER)
-            await self._tell()
-            await anyio.sleep(TELL_GAP)
+            await anyio.sleep(GATHER_TIME_S)
+            await self._send_reports()
+            await anyio.sleep(REPORT_GAP_S)
 
     def compare(self, vm: VmId, check: int) -> None:
         """Compare the checksum of another node with the own one; if they differ, send a report to that node."""
         own, now = self._board.check, read_clock()
         if check == own:
             return
-        told_check, told_own, told_at = self._answered.get(vm, (own, own, float("-inf")))
-        if (told_check, told_own) == (check, own) and now < told_at + TELL_AGAIN:
+        reported_check, reported_own, reported_at = self._reported_to.get(vm, (own, own, float("-inf")))
+        if (reported_check, reported_own) == (check, own) and now < reported_at + REPEAT_AFTER_S:
             return
-        self._answered = {one: told for one, told in self._answered.items() if one in self._view.nodes}
-        self._answered[vm] = check, own, now
-        self._behind.add(vm)
+        self._reported_to = {node: reported for node, reported in self._reported_to.items() if node in self._view.nodes}
+        self._reported_to[vm] = check, own, now
+        self._differing.add(vm)
         self._has_news.notify()
 
     def take(self, body: bytes) -> None:
         """Handle the report of another node."""
         try:
-            word = msgspec.json.decode(body, type=CrashWord)
-            ends = unpack_ends(word.ends, read_clock())
+            report = msgspec.json.decode(body, type=CrashWord)
+            crashes = unpack_crashes(report.ends, read_clock())
         except (msgspec.DecodeError, ValueError) as error:
             logger.warning("report of crashed servers not understood", extra={"fault": str(error)})
             return
-        if self._board.join(ends):
-            logger.info("ended servers told", extra={"servers": sorted(ends), "teller": word.vm})
+        if self._board.join(crashes):
+            logger.info("ended servers told", extra={"servers": sorted(crashes), "teller": report.vm})
             if self._vm not in list_relays(self._view.nodes):
-                self._told = self._board.check  # received from its relay, which needs no report of it
-        self.compare(word.vm, word.check)
-
-    async def _tell(self) -> None:
-        targets = self._list_targets() if self._told != self._board.check else set()
-        targets |= self._behind
-        self._told, self._behind = self._board.check, set()
-        word = CrashWord(self._vm, self._board.check, pack_ends(self._board.list_ends(), read_clock()))
+                self._reported_check = self._board.check  # received from its relay, which needs no report of it
+        self.compare(report.vm, report.check)
+
+    async def _send_reports(self) -> None:
+        targets = self._list_targets() if self._reported_check != self._board.check else set()
+        targets |= self._differing
+        self._reported_check, self._differing = self._board.check, set()
+        report = CrashWord(self._vm, self._board.check, pack_crashes(self._board.list_ends(), read_clock()))
         async with anyio.create_task_group() as tasks:
             for target in targets:
                 address = self._view.nodes.get(target)
                 if address is not None and target != self._vm:
-                    tasks.start_soon(send_word, self._caller, address, CRASHES_PATH, TELL_TIME, word)
+                    tasks.start_soon(send_word, self._caller, address, CRASHES_PATH, REPORT_TIMEOUT_S, report)
 
     def _list_targets(self) -> set[VmId]:
         """List the nodes to report to: its own relay or, on a relay, the other relays and its followers."""
@@ -128,25 +128,32 @@
         return {node for node in nodes if node in relays or rank_relays(node, nodes)[0] == self._vm}
 
 
-def pack_ends(ends: dict[ServerId, ServerEnd], now: float) -> list[EndRow]:
+def pack_crashes(crashes: dict[ServerId, ServerEnd], now: float) -> list[EndRow]:
     """Pack crashes with their ages."""
     return [
-        EndRow(server, round(now - end.at, 3), end.software, [(one, int(word)) for one, word in end.suspects.items()])
-        for server, end in ends.items()
+        EndRow(
+            server,
+            round(now - crash.at, 3),
+            crash.software,
+            [(content, int(suspicion)) for content, suspicion in crash.suspects.items()],
+        )
+        for server, crash in crashes.items()
     ]
 
 
-def unpack_ends(rows: list[EndRow], now: float) -> dict[ServerId, ServerEnd]:
+def unpack_crashes(rows: list[EndRow], now: float) -> dict[ServerId, ServerEnd]:
     """Unpack crashes whose ages count from a monotonic time.
 
     :raises ValueError: a row contains an unknown suspicion.
     """
     return {
         ServerId(row.server): ServerEnd(
-            now - max(0.0, row.age), row.software, {Content(one): Suspicion(word) for one, word in row.suspects}
+            now - max(0.0, row.age),
+            row.software,
+            {Content(content): Suspicion(suspicion) for content, suspicion in row.suspects},
         )
         for row in rows
     }
 
 
-__all__ = ["CRASHES_PATH", "CrashSharing", "CrashWord", "pack_ends", "unpack_ends"]
+__all__ = ["CRASHES_PATH", "CrashSharing", "CrashWord", "pack_crashes", "unpack_crashes"]
--- a/packages/node/src/vaneturn_node/traffic/sharing/difference.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/difference.py
@@ -9,15 +9,15 @@
 import msgspec
 
 MAX_VALUE_BYTES: Final = 1 << 20  # longest value that the store keeps
-PACKED_LEVEL: Final = 1  # of zlib; 0.4 MB of routes take 3 ms; level 6 takes 6 ms and saves only a sixth of the size
-CUT: Final = b"}"  # ends a route, and each other part that operators change on its own
+ZLIB_LEVEL: Final = 1  # 0.4 MB of routes take 3 ms; level 6 takes 6 ms and saves only a sixth of the size
+SEPARATOR: Final = b"}"  # ends a route, and each other part that operators change on its own
 
 _Step = tuple[int, int] | bytes  # index of the first piece in the base and number of pieces, or new text
 
 
 def pack(value: bytes) -> bytes:
     """Compress a value."""
-    return zlib.compress(value, PACKED_LEVEL)
+    return zlib.compress(value, ZLIB_LEVEL)
 
 
 def unpack(packed: bytes) -> bytes:
@@ -42,15 +42,15 @@
 
 def compute_difference(base: bytes, value: bytes) -> bytes:
     """Compute the compressed difference of a value from a base."""
-    old = base.split(CUT)
-    first = {piece: number for number, piece in reversed(list(enumerate(old)))}
+    base_pieces = base.split(SEPARATOR)
+    first_index = {piece: index for index, piece in reversed(list(enumerate(base_pieces)))}
     steps: list[_Step] = []
-    for piece in value.split(CUT):
+    for piece in value.split(SEPARATOR):
         last = steps[-1] if steps else None
-        if isinstance(last, tuple) and sum(last) < len(old) and old[sum(last)] == piece:
+        if isinstance(last, tuple) and sum(last) < len(base_pieces) and base_pieces[sum(last)] == piece:
             steps[-1] = (last[0], last[1] + 1)
         else:
-            steps.append((first[piece], 1) if piece in first else piece)
+            steps.append((first_index[piece], 1) if piece in first_index else piece)
     return pack(msgspec.msgpack.encode(steps))
 
 
@@ -63,25 +63,25 @@
         steps = msgspec.msgpack.decode(unpack(difference), type=list[_Step])
     except msgspec.DecodeError as error:
         raise ValueError(f"not a difference: {error}") from error
-    old = base.split(CUT)
+    base_pieces = base.split(SEPARATOR)
     parts: list[bytes] = []
-    room = MAX_VALUE_BYTES
+    capacity = MAX_VALUE_BYTES
     for step in steps:
-        part = step if isinstance(step, bytes) else _copy(old, *step, room)
-        room -= len(part)
-        if room < 0:
+        part = step if isinstance(step, bytes) else _copy(base_pieces, *step, capacity)
+        capacity -= len(part)
+        if capacity < 0:
             raise ValueError(f"value exceeds {MAX_VALUE_BYTES} bytes")
         parts.append(part)
-    value = CUT.join(parts)
+    value = SEPARATOR.join(parts)
     if compute_digest(value) != digest:
         raise ValueError("result of the difference does not match its digest")
     return value
 
 
-def _copy(old: list[bytes], first: int, count: int, room: int) -> bytes:
-    if first < 0 or not 0 < count <= min(len(old) - first, room + 1):
+def _copy(base_pieces: list[bytes], first: int, count: int, capacity: int) -> bytes:
+    if first < 0 or not 0 < count <= min(len(base_pieces) - first, capacity + 1):
         raise ValueError("difference refers to pieces that its base does not have")
-    return CUT.join(old[first : first + count])
+    return SEPARATOR.join(base_pieces[first : first + count])
 
 
 __all__ = ["MAX_VALUE_BYTES", "apply_difference", "compute_difference", "compute_digest", "pack", "unpack"]
--- a/packages/node/src/vaneturn_node/traffic/sharing/loadsharing.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/loadsharing.py
@@ -13,7 +13,7 @@
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.traffic.sharing.changeclient import ChangeClient
 
-SHARE_TIME: Final = 0.6  # seconds between two reports of a relay; followers send theirs every 0.8 s
+REPORT_GAP_S: Final = 0.6  # time between two reports of a relay; followers send theirs every 0.8 s
 
 
 class LoadSharing:
@@ -31,7 +31,7 @@
     async def run(self) -> None:
         """Send reports to the other relays until cancelled."""
         while True:
-            await anyio.sleep(SHARE_TIME)
+            await anyio.sleep(REPORT_GAP_S)
             relays = list_relays(self._view.nodes)
             if self._vm not in relays:
                 continue
--- a/packages/node/src/vaneturn_node/traffic/sharing/longvalues.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/longvalues.py
@@ -23,11 +23,11 @@
 from vaneturn_node.traffic.sharing.peerwords import OK
 
 VALUE_PATH: Final = "/value"
-VALUE_RATE: Final = 2_000_000.0  # bytes per second that a relay sends: four fifths of a 20 Mbit/s link
+MAX_BYTES_PER_S: Final = 2_000_000.0  # sent by a relay: four fifths of a 20 Mbit/s link
 # Longest wait of a node for its turn, in seconds. It suffices for 29 values of 41 KB; other nodes ask elsewhere.
-LONGEST_TURN: Final = 0.6
-ASK_TIME: Final = 0.8  # seconds for one relay
-RELAYS_TIME: Final = 1.0  # seconds for all relays; the store takes another 0.5 s, and the shortest bound is 2 s
+MAX_TURN_WAIT_S: Final = 0.6
+RELAY_TIMEOUT_S: Final = 0.8  # time for one relay
+ALL_RELAYS_TIMEOUT_S: Final = 1.0  # time for all relays; the store takes another 0.5 s, and the shortest bound is 2 s
 _BUSY: Final = 503
 
 logger = logging.getLogger(__name__)
@@ -55,13 +55,13 @@
             await answer.send_whole(404, [], b"")
             return
         now = read_clock()
-        turn = max(now, self._free_at)
-        if turn - now > LONGEST_TURN:
+        turn_at = max(now, self._free_at)
+        if turn_at - now > MAX_TURN_WAIT_S:
             await answer.send_whole(_BUSY, [], b"")
             return
         body = msgspec.msgpack.encode(PackedValue(item.revision, self._pack(item, item.value)))
-        self._free_at = turn + len(body) / VALUE_RATE
-        await anyio.sleep(turn - now)
+        self._free_at = turn_at + len(body) / MAX_BYTES_PER_S
+        await anyio.sleep(turn_at - now)
         await answer.send_whole(OK, [(b"content-type", b"application/msgpack")], body)
 
     def _pack(self, item: StoreItem, value: bytes) -> bytes:
@@ -83,14 +83,14 @@
 
     async def read(self, change: Change, address: str) -> StoreItem | None:
         """Return the value of a change; if it has to be fetched whole, log its size and how long that took."""
-        item = self._rebuild(change)
+        item = self._build_from_difference(change)
         if item is not None:
             return item
         started = read_clock()
         item, relay = await self._ask_relays(change, address)
         if item is None:
-            read = await self._store.read_key(change.key)
-            item = read if isinstance(read, StoreItem) else None
+            fetched = await self._store.read_key(change.key)
+            item = fetched if isinstance(fetched, StoreItem) else None
         extra = {
             "key": change.key,
             "bytes": len(item.value or b"") if item is not None else None,
@@ -100,7 +100,7 @@
         logger.info("long value read", extra=extra)
         return item
 
-    def _rebuild(self, change: Change) -> StoreItem | None:
+    def _build_from_difference(self, change: Change) -> StoreItem | None:
         base = self._log.find_long(change.key)
         if change.difference is None or base is None or base.value is None or base.revision != change.base:
             return None
@@ -112,7 +112,7 @@
         return StoreItem(change.key, value, change.revision)
 
     async def _ask_relays(self, change: Change, address: str) -> tuple[StoreItem | None, str | None]:
-        with anyio.move_on_after(RELAYS_TIME):
+        with anyio.move_on_after(ALL_RELAYS_TIMEOUT_S):
             for relay in self._list_relays(address):
                 item = await self._ask(relay, change.key)
                 if item is not None and item.revision >= change.revision:
@@ -128,7 +128,7 @@
 
     async def _ask(self, address: str, key: str) -> StoreItem | None:
         target = f"{VALUE_PATH}?{urlencode({'key': key})}"
-        reply = await self._caller.call(address, "GET", target, ASK_TIME)
+        reply = await self._caller.call(address, "GET", target, RELAY_TIMEOUT_S)
         if not isinstance(reply, Reply) or reply.status != OK:
             return None
         try:
--- a/packages/node/src/vaneturn_node/traffic/sharing/losssharing.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/losssharing.py
@@ -21,9 +21,9 @@
 from vaneturn_node.traffic.sharing.serverrows import pack_findings, unpack_findings
 
 LOSSES_PATH: Final = "/losses"
-GATHER: Final = 0.02  # seconds from a finding to its report; all requests on a server notice its loss together
-TELL_GAP: Final = 0.3  # seconds between two reports of a node; finding a loss of a sixth of the servers takes as long
-TELL_TIME: Final = 0.3  # seconds until a report times out; its content is soon out of date
+GATHER_TIME_S: Final = 0.02  # time from a finding to its report; all requests on a server notice its loss together
+REPORT_GAP_S: Final = 0.3  # time between two reports of a node; finding a loss of a sixth of the servers takes as long
+REPORT_TIMEOUT_S: Final = 0.3  # time until a report times out; its content is soon out of date
 
 logger = logging.getLogger(__name__)
 
@@ -43,7 +43,7 @@
         self._parts = parts
         self._caller = caller
         self._log = log
-        self._has_told = False  # findings that must be withdrawn once there are none left
+        self._has_reported = False  # findings that must be withdrawn once there are none left
         self._adopted: dict[ServerId, float] = {}  # servers avoided because of the latest report, and until when
 
     @property
@@ -55,26 +55,26 @@
         """Report the losses found by this node until cancelled."""
         while True:
             await self._parts.loss_found.wait()
-            await anyio.sleep(GATHER)
-            await self._tell()
-            await anyio.sleep(TELL_GAP)
+            await anyio.sleep(GATHER_TIME_S)
+            await self._send_reports()
+            await anyio.sleep(REPORT_GAP_S)
 
     def take(self, body: bytes) -> None:
         """Handle the report of another node; a relay forwards the reports of its followers."""
         try:
-            word = msgspec.json.decode(body, type=LossWord)
-            findings = unpack_findings(word.findings, self._parts.view.servers, read_clock())
+            report = msgspec.json.decode(body, type=LossWord)
+            findings = unpack_findings(report.findings, self._parts.view.servers, read_clock())
         except (msgspec.DecodeError, ValueError) as error:
             logger.warning("report of losses not understood", extra={"fault": str(error)})
             return
         before = self.version
-        if word.vm in list_relays(self._parts.view.nodes):
-            self._parts.losses.take_relay(word.vm, findings, self._list_own())
+        if report.vm in list_relays(self._parts.view.nodes):
+            self._parts.losses.take_relay(report.vm, findings, self._list_own())
         else:
-            self._parts.losses.take_follower(word.vm, findings, self._list_own())
+            self._parts.losses.take_follower(report.vm, findings, self._list_own())
             self._parts.loss_found.notify()
         if self.version != before:
-            self._adopt(self._parts.losses.list_confirmed(self._list_own()), word.vm)
+            self._adopt(self._parts.losses.list_confirmed(self._list_own()), report.vm)
             self._log.wake()  # answers the followers that are waiting for changes
 
     def pack_confirmed(self, now: float) -> bytes:
@@ -91,7 +91,7 @@
             return
         self._adopt({server: finding.latest for server, finding in findings.items()}, relay)
 
-    def _adopt(self, confirmed: dict[ServerId, float], teller: str) -> None:
+    def _adopt(self, confirmed: dict[ServerId, float], reporter: str) -> None:
         now = read_clock()
         beliefs = self._parts.beliefs
         for server in self._adopted.keys() - confirmed.keys():  # it has responded again to the nodes that reported it
@@ -100,27 +100,27 @@
         self._adopted = dict(confirmed)
         taken = [server for server, until in confirmed.items() if beliefs[server].take_told_loss(until, now)]
         if taken:
-            rests = [round(confirmed[server] - now, 3) for server in taken]
-            logger.info("losses told", extra={"servers": taken, "rests": rests, "teller": teller})
+            backoffs = [round(confirmed[server] - now, 3) for server in taken]
+            logger.info("losses told", extra={"servers": taken, "rests": backoffs, "teller": reporter})
 
     def _list_own(self) -> Findings:
         found = self._parts.beliefs.list_found(read_clock())
         return {server: Finding(until) for server, until in found.items()}
 
-    async def _tell(self) -> None:
+    async def _send_reports(self) -> None:
         nodes = self._parts.view.nodes
         ranked = rank_relays(self._vm, nodes)
         targets = ranked[:1] or [relay for relay in list_relays(nodes) if relay != self._vm]
         findings = self._list_own() if ranked else self._parts.losses.join_followers(self._list_own())
-        if not findings and not self._has_told:
+        if not findings and not self._has_reported:
             return
-        self._has_told = bool(findings)
-        word = LossWord(self._vm, pack_findings(findings, read_clock()))
+        self._has_reported = bool(findings)
+        report = LossWord(self._vm, pack_findings(findings, read_clock()))
         async with anyio.create_task_group() as tasks:
             for target in targets:
                 address = nodes[target]
                 if address is not None:
-                    tasks.start_soon(send_word, self._caller, address, LOSSES_PATH, TELL_TIME, word)
+                    tasks.start_soon(send_word, self._caller, address, LOSSES_PATH, REPORT_TIMEOUT_S, report)
 
 
 __all__ = ["LOSSES_PATH", "LossSharing", "LossWord"]
--- a/packages/node/src/vaneturn_node/traffic/sharing/peerwords.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/peerwords.py
@@ -20,7 +20,7 @@
 
 OK: Final = 200
 
-_Body = TypeVar("_Body")
+_Message = TypeVar("_Message")
 
 logger = logging.getLogger(__name__)
 
@@ -58,19 +58,19 @@
     limits: list[ReportedLimit] = []  # recently changed rate limits of servers
 
 
-async def send_word(caller: Caller, address: str, path: str, limit: float, word: Struct) -> None:
+async def send_word(caller: Caller, address: str, path: str, limit: float, message: Struct) -> None:
     """Send a message to another node; a lost message is not retried, because later ones replace it."""
-    reply = await caller.call(address, "POST", path, limit, body=msgspec.json.encode(word))
+    reply = await caller.call(address, "POST", path, limit, body=msgspec.json.encode(message))
     if not isinstance(reply, Reply):
         logger.debug("message not sent", extra={"node": address, "path": path, "cause": reply.cause})
 
 
-def decode_reply(reply: Reply | Failed, kind: type[_Body]) -> _Body | None:
+def decode_reply(reply: Reply | Failed, message_type: type[_Message]) -> _Message | None:
     """Decode the answer of a relay; None if the call failed or the answer is invalid."""
     if not isinstance(reply, Reply) or reply.status != OK:
         return None
     try:
-        return msgspec.json.decode(reply.body, type=kind)
+        return msgspec.json.decode(reply.body, type=message_type)
     except msgspec.DecodeError as error:
         logger.warning("answer from a relay not understood", extra={"fault": str(error)})
         return None
@@ -79,12 +79,12 @@
 def decode_told(body: bytes, known: Iterable[ServerId]) -> Told | None:
     """Decode the message of a node; None if the body is empty or invalid."""
     try:
-        told = msgspec.json.decode(body, type=ToldLoads) if body else None
+        report = msgspec.json.decode(body, type=ToldLoads) if body else None
     except msgspec.DecodeError as error:
         logger.warning("report of loads not understood", extra={"fault": str(error)})
         return None
-    loads = unpack_total(told.loads, known) if told is not None else None
-    return Told(told.vm, loads, told.crashes, told.limits) if told is not None and loads is not None else None
+    loads = unpack_total(report.loads, known) if report is not None else None
+    return Told(report.vm, loads, report.crashes, report.limits) if report is not None and loads is not None else None
 
 
 def unpack_total(data: bytes, known: Iterable[ServerId]) -> Loads | None:
--- a/packages/node/src/vaneturn_node/traffic/sharing/serverrows.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/serverrows.py
@@ -14,9 +14,9 @@
 from vaneturn_core.traffic.servers import ServerId, ServerLoad
 
 RESERVED_UNIT: Final = 64.0  # tokens times layers; a request reserves 9,000 on a server with nine layers
-REST_UNIT: Final = 0.001  # seconds
+BACKOFF_UNIT_S: Final = 0.001
 _ROW: Final = struct.Struct(">IHH")
-_MOST: Final = 0xFFFF
+_MAX_NUMBER: Final = 0xFFFF
 
 
 def pack_loads(loads: Mapping[ServerId, ServerLoad]) -> bytes:
@@ -29,13 +29,13 @@
 
     :raises ValueError: the length is not a multiple of the row size.
     """
-    return {server: ServerLoad(one, other * RESERVED_UNIT) for server, one, other in _unpack(data, known)}
+    return {server: ServerLoad(first, second * RESERVED_UNIT) for server, first, second in _unpack(data, known)}
 
 
 def pack_findings(findings: Findings, now: float) -> bytes:
     """Pack the remaining backoff of lost servers, counted from a monotonic time."""
     return b"".join(
-        _pack(server, (finding.latest - now) / REST_UNIT, (finding.second - now) / REST_UNIT)
+        _pack(server, (finding.latest - now) / BACKOFF_UNIT_S, (finding.second - now) / BACKOFF_UNIT_S)
         for server, finding in findings.items()
     )
 
@@ -46,25 +46,27 @@
     :raises ValueError: the length is not a multiple of the row size.
     """
     return {
-        server: Finding(now + one * REST_UNIT, now + other * REST_UNIT if other else float("-inf"))
-        for server, one, other in _unpack(data, known)
+        server: Finding(now + first * BACKOFF_UNIT_S, now + second * BACKOFF_UNIT_S if second else float("-inf"))
+        for server, first, second in _unpack(data, known)
     }
 
 
-def _pack(server: ServerId, one: float, other: float) -> bytes:
-    return _ROW.pack(_check(server), round(min(_MOST, max(0, one))), round(min(_MOST, max(0, other))))
+def _pack(server: ServerId, first: float, second: float) -> bytes:
+    return _ROW.pack(
+        _compute_checksum(server), round(min(_MAX_NUMBER, max(0, first))), round(min(_MAX_NUMBER, max(0, second)))
+    )
 
 
 def _unpack(data: bytes, known: Iterable[ServerId]) -> Iterator[tuple[ServerId, int, int]]:
     if len(data) % _ROW.size:
         raise ValueError(f"{len(data)} bytes are not a multiple of the row size {_ROW.size}")
-    servers = {_check(server): server for server in known}
-    for check, one, other in _ROW.iter_unpack(data):
-        if check in servers:
-            yield servers[check], one, other
+    servers = {_compute_checksum(server): server for server in known}
+    for checksum, first, second in _ROW.iter_unpack(data):
+        if checksum in servers:
+            yield servers[checksum], first, second
 
 
-def _check(server: ServerId) -> int:
+def _compute_checksum(server: ServerId) -> int:
     return zlib.crc32(server.encode())
 
 
--- a/tests/node/traffic/sharing/test_changelog.py
+++ b/tests/node/traffic/sharing/test_changelog.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from vaneturn_node.platform.store import StoreItem
-from vaneturn_node.traffic.sharing.changelog import KEPT_CHANGES, MAX_RELAYED_BYTES, MAX_VALUE_BYTES, Change, ChangeLog
+from vaneturn_node.traffic.sharing.changelog import MAX_CHANGES, MAX_RELAYED_BYTES, MAX_VALUE_BYTES, Change, ChangeLog
 
 
 def make_item(revision: int, value: bytes | None = b"value") -> StoreItem:
@@ -46,11 +46,11 @@
 def test_old_changes_go_and_who_needs_them_is_told_so() -> None:
     log = ChangeLog()
     log.replace([], 0)
-    log.append([make_item(revision) for revision in range(1, KEPT_CHANGES + 3)], KEPT_CHANGES + 2)
+    log.append([make_item(revision) for revision in range(1, MAX_CHANGES + 3)], MAX_CHANGES + 2)
     assert log.list_since(1) is None
     kept = log.list_since(2)
     assert kept is not None
-    assert [change.revision for change in kept] == list(range(3, KEPT_CHANGES + 3))
+    assert [change.revision for change in kept] == list(range(3, MAX_CHANGES + 3))
 
 
 def test_newest_change_of_a_key_is_told_alone() -> None:
--- a/tests/node/traffic/sharing/test_longvalues.py
+++ b/tests/node/traffic/sharing/test_longvalues.py
@@ -20,9 +20,9 @@
 from vaneturn_node.traffic.sharing.changelog import Change, ChangeLog
 from vaneturn_node.traffic.sharing.difference import pack
 from vaneturn_node.traffic.sharing.longvalues import (
-    LONGEST_TURN,
+    MAX_BYTES_PER_S,
+    MAX_TURN_WAIT_S,
     VALUE_PATH,
-    VALUE_RATE,
     LongValueReader,
     LongValueServer,
 )
@@ -167,7 +167,7 @@
         await server.answer(KEY, answer)
         answers.append((time.monotonic() - began, answer))
 
-    with anyio.fail_after(LONGEST_TURN + 2.0):
+    with anyio.fail_after(MAX_TURN_WAIT_S + 2.0):
         async with anyio.create_task_group() as tasks:
             for _ in range(100):
                 tasks.start_soon(ask)
@@ -177,6 +177,6 @@
     assert refused
     sent = 0
     for at, size in given:
-        assert at >= sent / VALUE_RATE - 0.01  # none is sent before the previous ones have used their share of the rate
+        assert at >= sent / MAX_BYTES_PER_S - 0.01  # not before the time that the previous ones need at this rate
         sent += size
-    assert sent / VALUE_RATE >= LONGEST_TURN
+    assert sent / MAX_BYTES_PER_S >= MAX_TURN_WAIT_S
--- a/tests/node/traffic/sharing/test_losssharing.py
+++ b/tests/node/traffic/sharing/test_losssharing.py
@@ -19,7 +19,7 @@
 from vaneturn_node.http1.caller import Caller, Failed, Reply
 from vaneturn_node.http1.pool import LinkPool
 from vaneturn_node.traffic.sharing.changelog import ChangeLog
-from vaneturn_node.traffic.sharing.losssharing import GATHER, LOSSES_PATH, LossSharing, LossWord
+from vaneturn_node.traffic.sharing.losssharing import GATHER_TIME_S, LOSSES_PATH, LossSharing, LossWord
 from vaneturn_node.traffic.sharing.serverrows import pack_findings
 
 pytestmark = pytest.mark.anyio
@@ -64,7 +64,7 @@
             tasks.start_soon(node.sharing.run)
         for vm in finders:
             fleet.nodes[vm].parts.record_loss(LOST)
-        await anyio.sleep(4 * GATHER)
+        await anyio.sleep(4 * GATHER_TIME_S)
         tasks.cancel_scope.cancel()
 
 
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -217,14 +217,14 @@
         "a relay that the store turns away is left in time",
         f"{SYSTEM}/test_relays.py::test_relay_that_the_store_turns_away_is_left",
         (
-            Edit(f"{TRAFFIC}/sharing/changeserver.py", "not is_heard or self._is_in_trouble()", "False"),
+            Edit(f"{TRAFFIC}/sharing/changeserver.py", "not has_news or self._has_store_failed()", "False"),
             Edit(f"{TRAFFIC}/sharing/changeclient.py", "confirmed_at > self._times.ask", "confirmed_at > 8.0"),
         ),
     ),
     Proof(
         "a relay is kept while the store's answer is arriving there",
         f"{SYSTEM}/test_relays.py::test_relay_is_kept_while_a_long_value_arrives_there",
-        (Edit(f"{TRAFFIC}/sharing/changeserver.py", "if not is_heard and self._is_arriving():", "if False:"),),
+        (Edit(f"{TRAFFIC}/sharing/changeserver.py", "if not has_news and self._is_arriving():", "if False:"),),
     ),
     Proof(
         "a relay gives long values to who cannot read them",
@@ -253,7 +253,7 @@
     Proof(
         "a relay does not fill its own link with long values",
         "tests/node/traffic/sharing/test_longvalues.py::test_relay_gives_values_one_after_the_other_and_refuses_who_would_wait_too_long",
-        (Edit(f"{TRAFFIC}/sharing/longvalues.py", "await anyio.sleep(turn - now)", "await anyio.sleep(0)"),),
+        (Edit(f"{TRAFFIC}/sharing/longvalues.py", "await anyio.sleep(turn_at - now)", "await anyio.sleep(0)"),),
     ),
     Proof(
         "ages of relays are counted on the asker's clock",
@@ -261,8 +261,8 @@
         (
             Edit(
                 f"{TRAFFIC}/sharing/changeclient.py",
-                "told_at = started + max(0.0, word.held)",
-                "told_at = read_clock() + max(0.0, word.held) - max(0.0, word.held)",
+                "sent_at = started + max(0.0, answer.held)",
+                "sent_at = read_clock() + max(0.0, answer.held) - max(0.0, answer.held)",
             ),
         ),
     ),
