--- a/packages/node/src/vaneturn_node/traffic/following/follower.py
+++ b/packages/node/src/vaneturn_node/traffic/following/follower.py
@@ -21,12 +21,12 @@
 from vaneturn_node.traffic.sharing.changeserver import ChangeServer
 from vaneturn_node.traffic.sharing.longvalues import LongValueReader
 
-WATCH_TIME: Final = 1.6  # seconds; each answer confirms the API keys, which stay valid for a few seconds
-SHORTEST_WATCH: Final = 0.2  # seconds
+WATCH_TIME_S: Final = 1.6  # each answer confirms the API keys, which stay valid for a few seconds
+MIN_WATCH_S: Final = 0.2
 MAX_RELAYS: Final = 4  # asked in turn before the store, as long as each answers at once that it is out of touch
-AT_ONCE: Final = 0.1  # seconds; answers within this time count as "at once", a relay that waited for news takes longer
-RELAY_REST: Final = 4.0  # seconds for which a relay that failed is not asked
-EVERYTHING: Final = ""
+IMMEDIATE_ANSWER_S: Final = 0.1  # answers by then count as "at once"; a relay that waited for news takes longer
+RELAY_BACKOFF_S: Final = 4.0  # time for which a relay that failed is not asked
+ALL_KEYS: Final = ""
 
 logger = logging.getLogger(__name__)
 
@@ -59,12 +59,12 @@
         self._times = times
         self._first_reading = first_reading
         self._revision: int | None = None
-        self._is_reached = False
+        self._is_store_reached = False
         self._cause = ""  # of the latest failure
         self._failures = 0  # in a row
-        self._rests: dict[VmId, float] = {}  # relays that failed, and until when they are not asked
+        self._backoffs: dict[VmId, float] = {}  # relays that failed, and until when they are not asked
         self._out_of_touch: set[VmId] = set()  # relays whose latest answer was that they cannot reach the store
-        self._direct_from = float("-inf")  # until then only the relays ask the store
+        self._direct_calls_from = float("-inf")  # until then only the relays ask the store
         self.followed: VmId | None = None  # the relay that answered last; None if it was the store
 
     async def run(self) -> None:
@@ -72,7 +72,7 @@
         while True:
             is_answered = await self._ask()
             self._first_reading.end()
-            self._note_reached(is_answered=is_answered)
+            self._log_store_contact(is_answered=is_answered)
             self._keeper.forget_lapsed()
             if not is_answered:
                 self._view.note_failure()
@@ -82,9 +82,9 @@
             else:
                 self._failures = 0
 
-    def _note_reached(self, *, is_answered: bool) -> None:
-        if is_answered != self._is_reached:
-            self._is_reached = is_answered
+    def _log_store_contact(self, *, is_answered: bool) -> None:
+        if is_answered != self._is_store_reached:
+            self._is_store_reached = is_answered
             extra = {"age": round(self._view.age, 3), "revision": self._revision}
             if is_answered:
                 logger.info("store regained", extra=extra)
@@ -103,58 +103,58 @@
             asked_at = read_clock()
             if await self._ask_relay(relay, self._revision):
                 return True
-            if read_clock() - asked_at > AT_ONCE:  # time was lost without an answer, so ask the store now
+            if read_clock() - asked_at > IMMEDIATE_ANSWER_S:  # time was lost without an answer, so ask the store now
                 break
-        self._note_followed(None, lost=relay)
-        if read_clock() < self._direct_from:
+        self._log_followed(None, lost=relay)
+        if read_clock() < self._direct_calls_from:
             return False
         is_answered = await self._watch(self._revision)
         if not is_answered and self._out_of_touch:
-            self._leave_to_relays()
+            self._defer_to_relays()
         return is_answered
 
-    def _leave_to_relays(self) -> None:
+    def _defer_to_relays(self) -> None:
         """Ask only the relays for a while, and soon again, because they cannot reach the store either."""
         now = read_clock()
-        self._direct_from = now + draw_direct_retry(self._view.count_nodes(), self._times.bound)
-        self._rests.update(dict.fromkeys(self._out_of_touch, now + RELAY_RETRY))
+        self._direct_calls_from = now + draw_direct_retry(self._view.count_nodes(), self._times.bound)
+        self._backoffs.update(dict.fromkeys(self._out_of_touch, now + RELAY_RETRY))
 
     def _choose_relay(self) -> VmId | None:
         now = read_clock()
-        left = [relay for relay, until in self._rests.items() if until > now]
-        return next(iter(rank_relays(self._vm, self._view.nodes, left)), None)
+        backed_off = [relay for relay, until in self._backoffs.items() if until > now]
+        return next(iter(rank_relays(self._vm, self._view.nodes, backed_off)), None)
 
     async def _ask_relay(self, relay: VmId, revision: int) -> bool:
         address = self._view.nodes[relay]
-        told = await self._peers.ask(address, revision) if address is not None else NoChanges.NO_ANSWER
-        if isinstance(told, NoChanges):
-            self._leave(relay, is_out_of_touch=told is NoChanges.OUT_OF_TOUCH)
+        answer = await self._peers.ask(address, revision) if address is not None else NoChanges.NO_ANSWER
+        if isinstance(answer, NoChanges):
+            self._back_off(relay, is_out_of_touch=answer is NoChanges.OUT_OF_TOUCH)
             return False
-        items = await self._complete(told.changes, address or "")
+        items = await self._fetch_values(answer.changes, address or "")
         if items is None:
-            self._leave(relay, is_out_of_touch=False)
+            self._back_off(relay, is_out_of_touch=False)
             return False
         self._out_of_touch.clear()
-        self._direct_from = float("-inf")
-        self._note_followed(relay)
-        self._view.adopt_contact(told.contact)
-        self._take(items, told.revision)
+        self._direct_calls_from = float("-inf")
+        self._log_followed(relay)
+        self._view.adopt_contact(answer.contact)
+        self._apply(items, answer.revision)
         if items:
             await anyio.sleep(self._times.gather)
         return True
 
-    def _leave(self, relay: VmId, *, is_out_of_touch: bool) -> None:
+    def _back_off(self, relay: VmId, *, is_out_of_touch: bool) -> None:
         """Stop asking a relay for a while; only briefly in an outage for all nodes, in which it answers at once."""
         now = read_clock()
-        is_outage = is_out_of_touch and now < self._direct_from
-        self._rests = {one: until for one, until in self._rests.items() if one in self._view.nodes}
-        self._rests[relay] = now + (RELAY_RETRY if is_outage else RELAY_REST)
+        is_outage = is_out_of_touch and now < self._direct_calls_from
+        self._backoffs = {known: until for known, until in self._backoffs.items() if known in self._view.nodes}
+        self._backoffs[relay] = now + (RELAY_RETRY if is_outage else RELAY_BACKOFF_S)
         if is_out_of_touch:
             self._out_of_touch.add(relay)
         else:
             self._out_of_touch.discard(relay)
 
-    async def _complete(self, changes: list[Change], address: str) -> list[StoreItem] | None:
+    async def _fetch_values(self, changes: list[Change], address: str) -> list[StoreItem] | None:
         """Obtain the values that were too long to be included; return None if one of them is not available."""
         items: list[StoreItem] = []
         for change in changes:
@@ -164,7 +164,7 @@
             items.append(item)
         return items
 
-    def _note_followed(self, relay: VmId | None, lost: VmId | None = None) -> None:
+    def _log_followed(self, relay: VmId | None, lost: VmId | None = None) -> None:
         if relay == self.followed:
             return
         self.followed = relay
@@ -174,17 +174,17 @@
         """Read all keys; the pages are not a snapshot, so the watch continues from the revision of the first page."""
         started = read_clock()
         items: dict[str, StoreItem] = {}
-        page = await self._store.read_range(EVERYTHING)
+        page = await self._store.read_range(ALL_KEYS)
         if isinstance(page, NotDone):
-            return self._fail(page)
+            return self._record_failure(page)
         revision = page.revision
         while True:
             items.update((item.key, item) for item in page.items)
             if not page.has_more or not page.items:
                 break
-            page = await self._store.read_range(EVERYTHING, page.items[-1].key)
+            page = await self._store.read_range(ALL_KEYS, page.items[-1].key)
             if isinstance(page, NotDone):
-                return self._fail(page)
+                return self._record_failure(page)
         self._keeper.replace_all(items)
         self._revision = revision
         self._view.confirm(started)
@@ -194,7 +194,7 @@
     async def _watch(self, revision: int) -> bool:
         wait = self._choose_watch_time()
         started = read_clock()
-        page = await self._store.watch(EVERYTHING, revision, wait, self._server.arrival)
+        page = await self._store.watch(ALL_KEYS, revision, wait, self._server.arrival)
         if isinstance(page, HistoryGone):
             logger.info("store history gone", extra={"revision": revision})
             return await self._reload()
@@ -202,15 +202,15 @@
             logger.info("store watch too long", extra={"revision": revision, "cause": page.cause})
             return await self._reload()
         if isinstance(page, NotDone):
-            return self._fail(page)
+            return self._record_failure(page)
         has_waited = not page.items and read_clock() - started >= wait
         self._view.confirm(started + wait if has_waited else started)
-        self._take(page.items, page.revision)
+        self._apply(page.items, page.revision)
         if page.items:
             await anyio.sleep(self._times.gather)
         return True
 
-    def _fail(self, page: NotDone) -> bool:
+    def _record_failure(self, page: NotDone) -> bool:
         """Record why a call of the store failed, for the log line "store lost"."""
         self._cause = page.cause
         logger.debug("call of the store failed", extra={"cause": page.cause})
@@ -222,10 +222,10 @@
         After reading a long value it is already 0.9 s old, and would be 1.9 s old after another full watch.
         """
         if not self._server.is_asked():
-            return WATCH_TIME
-        return min(self._times.watch, max(SHORTEST_WATCH, self._times.hold_arriving - self._view.age))
+            return WATCH_TIME_S
+        return min(self._times.watch, max(MIN_WATCH_S, self._times.hold_arriving - self._view.age))
 
-    def _take(self, items: Sequence[StoreItem], revision: int) -> None:
+    def _apply(self, items: Sequence[StoreItem], revision: int) -> None:
         for item in items:
             self._keeper.apply(item)
         self._revision = max(self._revision or 0, revision)
--- a/packages/node/src/vaneturn_node/traffic/following/serverentries.py
+++ b/packages/node/src/vaneturn_node/traffic/following/serverentries.py
@@ -11,9 +11,9 @@
 from vaneturn_core.traffic.servers import BackendServer, ServerName
 from vaneturn_node.platform.servers import decode_server
 
-MAX_ASIDE: Final = 256  # entries kept for a later configuration; the planned size is 390 nodes in front of 810 servers
+MAX_UNUSED: Final = 256  # entries kept for a later configuration; the planned size is 390 nodes in front of 810 servers
 MAX_FAULTS: Final = 256  # names whose latest fault is kept, so that each is logged once
-BORN_SHARE: Final = 0.5  # if more of a service's servers than this state their birth, entries without it are rejected
+BIRTH_SHARE: Final = 0.5  # if more of a service's servers than this state their birth, entries without it are rejected
 
 logger = logging.getLogger(__name__)
 
@@ -22,7 +22,7 @@
     """Checks entries against the platform's format and the configuration in force."""
 
     def __init__(self) -> None:
-        self._aside: dict[ServerName, BackendServer] = {}  # valid, but not used by the configuration in force
+        self._unused: dict[ServerName, BackendServer] = {}  # valid, but not used by the configuration in force
         self._faults: dict[ServerName, str] = {}
 
     def read(
@@ -33,28 +33,28 @@
         listed: Collection[BackendServer],
     ) -> BackendServer | None:
         """Read an entry; None if its server cannot be used."""
-        self._aside.pop(name, None)
+        self._unused.pop(name, None)
         server = decode_server(name, value)
         if isinstance(server, Fault):
             self._note_fault(name, server)
             return None
-        if server.born is None and _tell_born(server, listed):
+        if server.born is None and _do_most_state_birth(server, listed):
             self._note_fault(name, Fault("$.born", "a whole number, as the other servers of the service have"))
             return None
         return self._admit(server, configuration)
 
     def forget(self, name: ServerName) -> None:
         """Drop the state of an entry that was removed."""
-        self._aside.pop(name, None)
+        self._unused.pop(name, None)
         self._faults.pop(name, None)
 
     def recheck(
         self, configuration: TrafficConfiguration, listed: Collection[BackendServer]
     ) -> tuple[list[BackendServer], list[BackendServer]]:
         """Check all entries against a new configuration; return the servers to list and those to drop."""
-        aside = list(self._aside.values())
-        self._aside.clear()
-        added = [server for server in aside if self._admit(server, configuration) is not None]
+        unused = list(self._unused.values())
+        self._unused.clear()
+        added = [server for server in unused if self._admit(server, configuration) is not None]
         dropped = [server for server in listed if self._admit(server, configuration) is None]
         return added, dropped
 
@@ -65,8 +65,8 @@
             self._faults.pop(server.name, None)
             return server
         self._note_fault(server.name, fault)
-        if len(self._aside) < MAX_ASIDE:
-            self._aside[server.name] = server
+        if len(self._unused) < MAX_UNUSED:
+            self._unused[server.name] = server
         return None
 
     def _note_fault(self, name: ServerName, fault: Fault) -> None:
@@ -93,10 +93,10 @@
     return None
 
 
-def _tell_born(server: BackendServer, listed: Collection[BackendServer]) -> bool:
+def _do_most_state_birth(server: BackendServer, listed: Collection[BackendServer]) -> bool:
     """Check whether most servers of a service state their birth, so that one foreign entry does not decide."""
-    others = [one for one in listed if one.service == server.service and one.name != server.name]
-    return sum(one.born is not None for one in others) > BORN_SHARE * max(1, len(others))
+    others = [other for other in listed if other.service == server.service and other.name != server.name]
+    return sum(other.born is not None for other in others) > BIRTH_SHARE * max(1, len(others))
 
 
 __all__ = ["ServerEntries"]
--- a/packages/node/src/vaneturn_node/traffic/following/viewkeeping.py
+++ b/packages/node/src/vaneturn_node/traffic/following/viewkeeping.py
@@ -125,7 +125,7 @@
         if known is not None and known.id != server.id:
             logger.info("server removed", extra={"server": known.id, "cause": "started again"})
         if known is None or (known.id, known.state, known.layers) != (server.id, server.state, server.layers):
-            layers = [[one.first, one.end] for one in server.layers]
+            layers = [[part.first, part.end] for part in server.layers]
             extra = {"server": server.id, "address": server.address, "state": server.state.value, "layers": layers}
             logger.info("server listed", extra=extra)
 
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -391,7 +391,7 @@
     Proof(
         "a store that is away for all is left to the relays",
         "tests/node/traffic/following/test_follower.py::test_node_leaves_a_store_that_is_away_to_its_relays",
-        (Edit(f"{TRAFFIC}/following/follower.py", "if read_clock() < self._direct_from:", "if False:"),),
+        (Edit(f"{TRAFFIC}/following/follower.py", "if read_clock() < self._direct_calls_from:", "if False:"),),
     ),
     Proof(
         "a request that has arrived with the signal is read",
