--- a/packages/node/src/vaneturn_node/traffic/following/follower.py
+++ b/packages/node/src/vaneturn_node/traffic/following/follower.py
@@ -221,7 +221,7 @@
 
         After reading a long value it is already 0.9 s old, and would be 1.9 s old after another full watch.
         """
-        if not self._server.is_asked():
+        if not self._server.has_followers():
             return WATCH_TIME_S
         return min(self._times.watch, max(MIN_WATCH_S, self._times.hold_arriving - self._view.age))
 
--- a/packages/node/src/vaneturn_node/traffic/sharing/changeclient.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changeclient.py
@@ -21,10 +21,10 @@
 from vaneturn_node.traffic.sharing.crashsharing import CrashSharing
 from vaneturn_node.traffic.sharing.losssharing import LossSharing
 from vaneturn_node.traffic.sharing.peerwords import (
-    RelayWord,
-    ToldLoads,
+    LoadReport,
+    RelayAnswer,
     decode_reply,
-    send_word,
+    send_message,
     unpack_total,
 )
 from vaneturn_node.traffic.sharing.serverrows import pack_loads
@@ -82,7 +82,7 @@
         reply = await self._caller.call(address, "POST", f"{CHANGES_PATH}?since={since}", self._times.ask, body=body)
         if isinstance(reply, Reply) and reply.status == OUT_OF_TOUCH:
             return NoChanges.OUT_OF_TOUCH
-        answer = decode_reply(reply, RelayWord)
+        answer = decode_reply(reply, RelayAnswer)
         if answer is None:
             return NoChanges.NO_ANSWER
         sent_at = started + max(0.0, answer.held)
@@ -100,12 +100,12 @@
         self._permits.apply_reported_limits(answer.limits)
         return RelayedChanges(answer.revision, answer.changes, contact)
 
-    async def tell_loads(self, address: str, loads: Loads) -> None:
+    async def report_loads(self, address: str, loads: Loads) -> None:
         """Report the load of this relay and its followers to another relay; the next report replaces a lost one."""
-        await send_word(self._caller, address, LOADS_PATH, REPORT_TIMEOUT_S, self._make_report(loads))
+        await send_message(self._caller, address, LOADS_PATH, REPORT_TIMEOUT_S, self._make_report(loads))
 
-    def _make_report(self, loads: Loads) -> ToldLoads:
-        return ToldLoads(self._vm, pack_loads(loads), self._crashes.check, self._permits.list_changed_limits())
+    def _make_report(self, loads: Loads) -> LoadReport:
+        return LoadReport(self._vm, pack_loads(loads), self._crashes.check, self._permits.list_changed_limits())
 
 
 def _compute_time(now: float, age: float | None) -> float:
--- a/packages/node/src/vaneturn_node/traffic/sharing/changelog.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changelog.py
@@ -87,7 +87,7 @@
             return None
         return [self._prepare_change(item, revision) for item in self._changes.values() if item.revision > revision]
 
-    def find_long(self, key: str) -> StoreItem | None:
+    def find_long_value(self, key: str) -> StoreItem | None:
         """Return the latest value of a key if it may be too long for the changes."""
         return self._long.get(key)
 
--- a/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
@@ -27,8 +27,8 @@
 from vaneturn_node.traffic.sharing.losssharing import LOSSES_PATH, LossSharing
 from vaneturn_node.traffic.sharing.peerwords import (
     OK,
-    RelayWord,
-    decode_told,
+    RelayAnswer,
+    decode_load_report,
 )
 from vaneturn_node.traffic.sharing.serverrows import pack_loads
 
@@ -71,7 +71,7 @@
         self._packed_at = float("-inf")
         self.arrival = Arrival(BODY_TIME, SILENCE)  # progress of the store's answers to this node's watch
 
-    def is_asked(self) -> bool:
+    def has_followers(self) -> bool:
         """Check whether other nodes ask this one for changes."""
         return read_clock() - self._asked_at < 2 * self._times.hold
 
@@ -93,7 +93,7 @@
             permit = self._permits.answer_request(request.body)
             await answer.send_whole(OK if permit is not None else 400, _JSON, permit or b"")
             return
-        report = decode_told(request.body, self._view.servers)
+        report = decode_load_report(request.body, self._view.servers)
         if report is not None:
             self._crashes.compare(report.vm, report.crashes)
             self._permits.apply_reported_limits(report.limits)
@@ -128,7 +128,7 @@
             return
         now = read_clock()
         contact = self._view.contact
-        message = RelayWord(
+        message = RelayAnswer(
             revision=self._log.revision,
             changes=changes,
             held=now - arrived,
--- a/packages/node/src/vaneturn_node/traffic/sharing/crashsharing.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/crashsharing.py
@@ -23,7 +23,7 @@
 from vaneturn_node.clock import read_clock
 from vaneturn_node.http1.caller import Caller
 from vaneturn_node.traffic.servers.signals import Signal
-from vaneturn_node.traffic.sharing.peerwords import send_word
+from vaneturn_node.traffic.sharing.peerwords import send_message
 
 CRASHES_PATH: Final = "/crashes"
 GATHER_TIME_S: Final = 0.01  # time from a change to its report; all requests on a server notice its crash together
@@ -36,7 +36,7 @@
 logger = logging.getLogger(__name__)
 
 
-class EndRow(Struct, array_like=True):
+class CrashRow(Struct, array_like=True):
     """The crash of a server, as sent between nodes."""
 
     server: str
@@ -45,12 +45,12 @@
     suspects: list[tuple[int, int]]  # content and suspicion
 
 
-class CrashWord(Struct):
+class CrashReport(Struct):
     """All crashes that a node knows of."""
 
     vm: VmId
     check: int  # checksum of the crashes
-    ends: list[EndRow]
+    ends: list[CrashRow]
 
 
 class CrashSharing:
@@ -96,7 +96,7 @@
     def take(self, body: bytes) -> None:
         """Handle the report of another node."""
         try:
-            report = msgspec.json.decode(body, type=CrashWord)
+            report = msgspec.json.decode(body, type=CrashReport)
             crashes = unpack_crashes(report.ends, read_clock())
         except (msgspec.DecodeError, ValueError) as error:
             logger.warning("report of crashed servers not understood", extra={"fault": str(error)})
@@ -111,12 +111,12 @@
         targets = self._list_targets() if self._reported_check != self._board.check else set()
         targets |= self._differing
         self._reported_check, self._differing = self._board.check, set()
-        report = CrashWord(self._vm, self._board.check, pack_crashes(self._board.list_ends(), read_clock()))
+        report = CrashReport(self._vm, self._board.check, pack_crashes(self._board.list_ends(), read_clock()))
         async with anyio.create_task_group() as tasks:
             for target in targets:
                 address = self._view.nodes.get(target)
                 if address is not None and target != self._vm:
-                    tasks.start_soon(send_word, self._caller, address, CRASHES_PATH, REPORT_TIMEOUT_S, report)
+                    tasks.start_soon(send_message, self._caller, address, CRASHES_PATH, REPORT_TIMEOUT_S, report)
 
     def _list_targets(self) -> set[VmId]:
         """List the nodes to report to: its own relay or, on a relay, the other relays and its followers."""
@@ -128,10 +128,10 @@
         return {node for node in nodes if node in relays or rank_relays(node, nodes)[0] == self._vm}
 
 
-def pack_crashes(crashes: dict[ServerId, ServerEnd], now: float) -> list[EndRow]:
+def pack_crashes(crashes: dict[ServerId, ServerEnd], now: float) -> list[CrashRow]:
     """Pack crashes with their ages."""
     return [
-        EndRow(
+        CrashRow(
             server,
             round(now - crash.at, 3),
             crash.software,
@@ -141,7 +141,7 @@
     ]
 
 
-def unpack_crashes(rows: list[EndRow], now: float) -> dict[ServerId, ServerEnd]:
+def unpack_crashes(rows: list[CrashRow], now: float) -> dict[ServerId, ServerEnd]:
     """Unpack crashes whose ages count from a monotonic time.
 
     :raises ValueError: a row contains an unknown suspicion.
@@ -156,4 +156,4 @@
     }
 
 
-__all__ = ["CRASHES_PATH", "CrashSharing", "CrashWord", "pack_crashes", "unpack_crashes"]
+__all__ = ["CRASHES_PATH", "CrashReport", "CrashSharing", "pack_crashes", "unpack_crashes"]
--- a/packages/node/src/vaneturn_node/traffic/sharing/loadsharing.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/loadsharing.py
@@ -40,7 +40,7 @@
                 for relay in relays:
                     address = self._view.nodes[relay]
                     if relay != self._vm and address is not None:
-                        tasks.start_soon(self._peers.tell_loads, address, loads)
+                        tasks.start_soon(self._peers.report_loads, address, loads)
 
 
 __all__ = ["LoadSharing"]
--- a/packages/node/src/vaneturn_node/traffic/sharing/longvalues.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/longvalues.py
@@ -50,7 +50,7 @@
 
     async def answer(self, key: str, answer: ClientAnswer) -> None:
         """Send a value when its turn has come, or refuse at once if the wait would be too long."""
-        item = self._log.find_long(key)
+        item = self._log.find_long_value(key)
         if item is None or item.value is None:
             await answer.send_whole(404, [], b"")
             return
@@ -101,7 +101,7 @@
         return item
 
     def _build_from_difference(self, change: Change) -> StoreItem | None:
-        base = self._log.find_long(change.key)
+        base = self._log.find_long_value(change.key)
         if change.difference is None or base is None or base.value is None or base.revision != change.base:
             return None
         try:
--- a/packages/node/src/vaneturn_node/traffic/sharing/losssharing.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/losssharing.py
@@ -17,7 +17,7 @@
 from vaneturn_node.http1.caller import Caller
 from vaneturn_node.traffic.servers.exchange import TrafficParts
 from vaneturn_node.traffic.sharing.changelog import ChangeLog
-from vaneturn_node.traffic.sharing.peerwords import send_word
+from vaneturn_node.traffic.sharing.peerwords import send_message
 from vaneturn_node.traffic.sharing.serverrows import pack_findings, unpack_findings
 
 LOSSES_PATH: Final = "/losses"
@@ -28,7 +28,7 @@
 logger = logging.getLogger(__name__)
 
 
-class LossWord(Struct):
+class LossReport(Struct):
     """Losses found by a node, or by a relay and its followers."""
 
     vm: VmId
@@ -62,7 +62,7 @@
     def take(self, body: bytes) -> None:
         """Handle the report of another node; a relay forwards the reports of its followers."""
         try:
-            report = msgspec.json.decode(body, type=LossWord)
+            report = msgspec.json.decode(body, type=LossReport)
             findings = unpack_findings(report.findings, self._parts.view.servers, read_clock())
         except (msgspec.DecodeError, ValueError) as error:
             logger.warning("report of losses not understood", extra={"fault": str(error)})
@@ -115,12 +115,12 @@
         if not findings and not self._has_reported:
             return
         self._has_reported = bool(findings)
-        report = LossWord(self._vm, pack_findings(findings, read_clock()))
+        report = LossReport(self._vm, pack_findings(findings, read_clock()))
         async with anyio.create_task_group() as tasks:
             for target in targets:
                 address = nodes[target]
                 if address is not None:
-                    tasks.start_soon(send_word, self._caller, address, LOSSES_PATH, REPORT_TIMEOUT_S, report)
+                    tasks.start_soon(send_message, self._caller, address, LOSSES_PATH, REPORT_TIMEOUT_S, report)
 
 
-__all__ = ["LOSSES_PATH", "LossSharing", "LossWord"]
+__all__ = ["LOSSES_PATH", "LossReport", "LossSharing"]
--- a/packages/node/src/vaneturn_node/traffic/sharing/peerwords.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/peerwords.py
@@ -25,7 +25,7 @@
 logger = logging.getLogger(__name__)
 
 
-class ToldLoads(Struct):
+class LoadReport(Struct):
     """The load on servers by a node, or by a relay and its followers."""
 
     vm: VmId
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class ReceivedReport:
     """The decoded message of a node."""
 
     vm: VmId
@@ -44,7 +44,7 @@
     limits: list[ReportedLimit]
 
 
-class RelayWord(Struct):
+class RelayAnswer(Struct):
     """An answer of a relay; ages are in seconds, None for events that never occurred."""
 
     revision: int
@@ -58,7 +58,7 @@
     limits: list[ReportedLimit] = []  # recently changed rate limits of servers
 
 
-async def send_word(caller: Caller, address: str, path: str, limit: float, message: Struct) -> None:
+async def send_message(caller: Caller, address: str, path: str, limit: float, message: Struct) -> None:
     """Send a message to another node; a lost message is not retried, because later ones replace it."""
     reply = await caller.call(address, "POST", path, limit, body=msgspec.json.encode(message))
     if not isinstance(reply, Reply):
@@ -76,15 +76,19 @@
         return None
 
 
-def decode_told(body: bytes, known: Iterable[ServerId]) -> Told | None:
+def decode_load_report(body: bytes, known: Iterable[ServerId]) -> ReceivedReport | None:
     """Decode the message of a node; None if the body is empty or invalid."""
     try:
-        report = msgspec.json.decode(body, type=ToldLoads) if body else None
+        report = msgspec.json.decode(body, type=LoadReport) if body else None
     except msgspec.DecodeError as error:
         logger.warning("report of loads not understood", extra={"fault": str(error)})
         return None
     loads = unpack_total(report.loads, known) if report is not None else None
-    return Told(report.vm, loads, report.crashes, report.limits) if report is not None and loads is not None else None
+    return (
+        ReceivedReport(report.vm, loads, report.crashes, report.limits)
+        if report is not None and loads is not None
+        else None
+    )
 
 
 def unpack_total(data: bytes, known: Iterable[ServerId]) -> Loads | None:
@@ -96,4 +100,13 @@
         return None
 
 
-__all__ = ["OK", "RelayWord", "Told", "ToldLoads", "decode_reply", "decode_told", "send_word", "unpack_total"]
+__all__ = [
+    "OK",
+    "LoadReport",
+    "ReceivedReport",
+    "RelayAnswer",
+    "decode_load_report",
+    "decode_reply",
+    "send_message",
+    "unpack_total",
+]
--- a/tests/node/traffic/following/test_follower.py
+++ b/tests/node/traffic/following/test_follower.py
@@ -60,7 +60,7 @@
 class Server:
     arrival = None
 
-    def is_asked(self) -> bool:
+    def has_followers(self) -> bool:
         return False
 
 
--- a/tests/node/traffic/sharing/test_changelog.py
+++ b/tests/node/traffic/sharing/test_changelog.py
@@ -81,9 +81,9 @@
     log.replace([], 0)
     log.append([make_item(1, value)], 1)
     assert log.list_since(0) == [Change("servers/i-1", 1, None, is_left_out=True)]
-    assert log.find_long("servers/i-1") == make_item(1, value)
+    assert log.find_long_value("servers/i-1") == make_item(1, value)
     log.append([make_item(1, b"short")], 2)
-    assert log.find_long("servers/i-1") is None
+    assert log.find_long_value("servers/i-1") is None
 
 
 @pytest.mark.parametrize("packed", [b"no zlib", b"", zlib.compress(b"x" * 5000)[:-3]], ids=["other", "empty", "cut"])
--- a/tests/node/traffic/sharing/test_changes.py
+++ b/tests/node/traffic/sharing/test_changes.py
@@ -131,7 +131,7 @@
 
 async def test_relays_tell_each_other() -> None:
     relay = Relay()
-    await make_client(Wire(relay.server), "entry-1")[0].tell_loads("relay", {BUSY: ServerLoad(7, 7 * RESERVED)})
+    await make_client(Wire(relay.server), "entry-1")[0].report_loads("relay", {BUSY: ServerLoad(7, 7 * RESERVED)})
     assert relay.board.find_others(BUSY) == ServerLoad(7, 7 * RESERVED)
 
 
@@ -149,7 +149,7 @@
     assert [(one.server, one.rate) for one in asker._permits.list_changed_limits()] == [("i-1", 2.5)]
     between_relays, _ = make_client(Wire(other.server), "entry-1")
     between_relays._permits.apply_reported_limits(relay.parts.permits.list_changed_limits())
-    await between_relays.tell_loads("relay", {})
+    await between_relays.report_loads("relay", {})
     assert other.parts.limits.list_limited() == {BUSY: 2.5}
 
 
--- a/tests/node/traffic/sharing/test_losssharing.py
+++ b/tests/node/traffic/sharing/test_losssharing.py
@@ -19,7 +19,7 @@
 from vaneturn_node.http1.caller import Caller, Failed, Reply
 from vaneturn_node.http1.pool import LinkPool
 from vaneturn_node.traffic.sharing.changelog import ChangeLog
-from vaneturn_node.traffic.sharing.losssharing import GATHER_TIME_S, LOSSES_PATH, LossSharing, LossWord
+from vaneturn_node.traffic.sharing.losssharing import GATHER_TIME_S, LOSSES_PATH, LossReport, LossSharing
 from vaneturn_node.traffic.sharing.serverrows import pack_findings
 
 pytestmark = pytest.mark.anyio
@@ -98,7 +98,7 @@
     relay, follower = Node(NODES[0], fleet), Node(NODES[1], fleet)
     now = time.monotonic()
     for vm in ("entry-7", "entry-8"):
-        body = msgspec.json.encode(LossWord(VmId(vm), pack_findings({LOST: Finding(now + 1.4)}, now)))
+        body = msgspec.json.encode(LossReport(VmId(vm), pack_findings({LOST: Finding(now + 1.4)}, now)))
         relay.sharing.take(body)
     follower.sharing.take_confirmed(relay.sharing.pack_confirmed(time.monotonic()), "relay")
     assert follower.is_resting()
