--- a/tests/node/traffic/following/test_follower.py
+++ b/tests/node/traffic/following/test_follower.py
@@ -39,14 +39,14 @@
     """Give preset answers."""
 
     def __init__(self) -> None:
-        self.word: RelayedChanges | NoChanges = NoChanges.OUT_OF_TOUCH
-        self.words: dict[str, RelayedChanges | NoChanges] = {}  # of single relays, by address
+        self.default_answer: RelayedChanges | NoChanges = NoChanges.OUT_OF_TOUCH
+        self.answers: dict[str, RelayedChanges | NoChanges] = {}  # of single relays, by address
         self.asked: list[str] = []
 
     async def ask(self, address: str, _: int) -> RelayedChanges | NoChanges:
         self.asked.append(address)
         await anyio.sleep(0.002)
-        return self.words.get(address, self.word)
+        return self.answers.get(address, self.default_answer)
 
 
 class Keeper:
@@ -87,9 +87,9 @@
     return follower, view
 
 
-async def count_calls(word: NoChanges) -> int:
+async def count_calls(default_answer: NoChanges) -> int:
     store, relays = Store(), Relays()
-    relays.word = word
+    relays.default_answer = default_answer
     follower, _ = make_follower(store, relays)
     with anyio.move_on_after(OUTAGE):
         await follower.run()
@@ -112,7 +112,7 @@
         tasks.start_soon(follower.run)
         await anyio.sleep(0.5)
         now = time.monotonic()
-        relays.word = RelayedChanges(6, [], StoreContact(now, now - 0.1, now))
+        relays.default_answer = RelayedChanges(6, [], StoreContact(now, now - 0.1, now))
         await anyio.sleep(RELAY_RETRY + MAX_RETRY)
         tasks.cancel_scope.cancel()
     assert not view.contact.is_in_trouble
@@ -125,13 +125,13 @@
     store, relays = Store(), Relays()
     follower, _ = make_follower(store, relays)
     out = list_relays(NODES)
-    relays.words = {f"{relay}:1": NoChanges.OUT_OF_TOUCH for relay in out}
-    relays.word = RelayedChanges(6, [], StoreContact(time.monotonic()))
+    relays.answers = {f"{relay}:1": NoChanges.OUT_OF_TOUCH for relay in out}
+    relays.default_answer = RelayedChanges(6, [], StoreContact(time.monotonic()))
     with anyio.move_on_after(0.5):
         await follower.run()
     assert store.calls == 0
     assert follower.followed not in {None, *out}
-    assert relays.asked[0] in relays.words
+    assert relays.asked[0] in relays.answers
 
 
 class LongStore(Store):
@@ -159,7 +159,7 @@
 @pytest.mark.parametrize("answer", UNREADABLE)
 async def test_newest_values_are_read_when_changes_cannot_be(answer: HistoryGone | WatchTooLong) -> None:
     relays = Relays()
-    relays.word = NoChanges.NO_ANSWER
+    relays.default_answer = NoChanges.NO_ANSWER
     follower, view = make_follower(LongStore(answer, StorePage((), 90)), relays)
     assert await follower._watch(5)
     assert follower._revision == 90
@@ -170,9 +170,9 @@
 async def test_relays_are_asked_when_the_newest_values_cannot_be_read(answer: HistoryGone | WatchTooLong) -> None:
     """A node that discards its state must not depend on the store alone, which may reject just this node."""
     relays = Relays()
-    relays.word = NoChanges.NO_ANSWER
+    relays.default_answer = NoChanges.NO_ANSWER
     follower, _ = make_follower(LongStore(answer, NotDone("status 503")), relays)
     assert not await follower._watch(5)
-    relays.word = RelayedChanges(6, [], StoreContact(time.monotonic()))
+    relays.default_answer = RelayedChanges(6, [], StoreContact(time.monotonic()))
     assert await follower._ask()
     assert follower.followed is not None
--- a/tests/node/traffic/servers/test_looks.py
+++ b/tests/node/traffic/servers/test_looks.py
@@ -57,22 +57,22 @@
     parts = make_node(servers)
     found: list[tuple[list[str], bool]] = []
 
-    async def look() -> None:
+    async def check_chain() -> None:
         await anyio.sleep(0.05)
         servers.silent.clear()
         found.append(await find_lost(make_finder(parts)))
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(parts.reports.read, SERVERS[2])
-        tasks.start_soon(look)
+        tasks.start_soon(check_chain)
     assert found == [([], False)]
 
 
-async def look_at_once(parts: TrafficParts, streams: int) -> list[bool]:
+async def check_at_once(parts: TrafficParts, streams: int) -> list[bool]:
     """Let streams check the same chain twice; return for each whether it found its first server gone."""
     found: list[bool] = []
 
-    async def look() -> None:
+    async def check_chain() -> None:
         finder = make_finder(parts)
         first = await find_lost(finder)
         await anyio.sleep(0.04)
@@ -80,7 +80,7 @@
 
     async with anyio.create_task_group() as tasks:
         for _ in range(streams):
-            tasks.start_soon(look)
+            tasks.start_soon(check_chain)
     return found
 
 
@@ -88,21 +88,21 @@
 async def test_questions_do_not_grow_with_the_streams_that_look(streams: int) -> None:
     """Two checks send two probes each, whatever the number of streams; sequential probes would add up."""
     servers = Servers(silent=set(range(8)))
-    assert not any(await look_at_once(make_node(servers), streams))
+    assert not any(await check_at_once(make_node(servers), streams))
     asked = Counter(servers.asked)
     assert max(asked[server.address] for server in SERVERS[:PARTS]) <= 2 * 2 * 2  # some may start too late to join
 
 
 @pytest.mark.parametrize("streams", [1, 12])
 async def test_loss_of_a_chain_is_found_in_two_looks_by_all_streams(streams: int) -> None:
-    assert all(await look_at_once(make_node(Servers(silent=set(range(PARTS)))), streams))
+    assert all(await check_at_once(make_node(Servers(silent=set(range(PARTS)))), streams))
 
 
 @pytest.mark.parametrize(("share", "count"), [(0.9, 12), (1.1, 0)])
 async def test_answers_that_are_not_prompt_say_nothing_of_a_loss(share: float, count: int) -> None:
     """On a machine too busy to deliver responses in time, none of twelve streams finds the loss of its chain."""
     servers = Servers(silent=set(range(PARTS)), delay=share * PROMPT)
-    assert sum(await look_at_once(make_node(servers), 12)) == count
+    assert sum(await check_at_once(make_node(servers), 12)) == count
 
 
 @pytest.mark.parametrize("number", [errno.EMFILE, errno.ENETUNREACH, errno.EHOSTUNREACH])
--- a/tests/node/traffic/sharing/test_changes.py
+++ b/tests/node/traffic/sharing/test_changes.py
@@ -35,7 +35,7 @@
 RESERVED = 10 * RESERVED_UNIT  # by each request
 
 
-class Wire(Caller):
+class Transport(Caller):
     """Delivers a request to a server in this process, and its answer after a delay in seconds."""
 
     def __init__(self, server: ChangeServer, delay: float = 0.0) -> None:
@@ -117,12 +117,12 @@
     """If each assumes that the others' load is like its own, chains of other halls seem full and its own ones free."""
     relay, other = Relay(), Relay()
     lead(relay.beliefs, 1)
-    await make_client(Wire(other.server), "entry-4", busy=20)[0].ask("relay", 4)
+    await make_client(Transport(other.server), "entry-4", busy=20)[0].ask("relay", 4)
     relay.board.take_relay(VmId("entry-9"), other.board.sum_followers({}))
     for name, busy in (("entry-2", 3), ("entry-3", 5)):
         relay.hear(StoreItem("servers/i-1", b"entry", 6), revision=6)
         await anyio.sleep(SUM_AGE)  # requests at about the same time share one sum
-        client, board = make_client(Wire(relay.server), name, busy)
+        client, board = make_client(Transport(relay.server), name, busy)
         assert await client.ask("relay", 5) is not None
     assert board.find_others(BUSY) == ServerLoad(1 + 3 + 20, 24 * RESERVED)
     assert relay.board.find_others(BUSY) == ServerLoad(3 + 5 + 20, 28 * RESERVED)
@@ -131,23 +131,23 @@
 
 async def test_relays_tell_each_other() -> None:
     relay = Relay()
-    await make_client(Wire(relay.server), "entry-1")[0].report_loads("relay", {BUSY: ServerLoad(7, 7 * RESERVED)})
+    await make_client(Transport(relay.server), "entry-1")[0].report_loads("relay", {BUSY: ServerLoad(7, 7 * RESERVED)})
     assert relay.board.find_others(BUSY) == ServerLoad(7, 7 * RESERVED)
 
 
 async def test_rate_limit_that_one_node_was_told_reaches_all_others() -> None:
     """Otherwise each node keeps its rate until a server's answer to it contains the limit."""
     relay, other = Relay(), Relay()
-    teller, _ = make_client(Wire(relay.server), "entry-2")
-    teller._permits.apply_reported_limits(
+    reporter, _ = make_client(Transport(relay.server), "entry-2")
+    reporter._permits.apply_reported_limits(
         [ReportedLimit("i-1", 2.5, 0.0), ReportedLimit("i-9", 2.5, 0.0), ReportedLimit("i-1", -1.0, 0.0)]
     )
     relay.hear(StoreItem("servers/i-1", b"entry", 6), revision=6)
-    await teller.ask("relay", 5)
-    asker, _ = make_client(Wire(relay.server), "entry-3")
+    await reporter.ask("relay", 5)
+    asker, _ = make_client(Transport(relay.server), "entry-3")
     await asker.ask("relay", 5)
     assert [(one.server, one.rate) for one in asker._permits.list_changed_limits()] == [("i-1", 2.5)]
-    between_relays, _ = make_client(Wire(other.server), "entry-1")
+    between_relays, _ = make_client(Transport(other.server), "entry-1")
     between_relays._permits.apply_reported_limits(relay.parts.permits.list_changed_limits())
     await between_relays.report_loads("relay", {})
     assert other.parts.limits.list_limited() == {BUSY: 2.5}
@@ -165,26 +165,26 @@
 async def test_changes_are_told_at_once() -> None:
     relay = Relay()
     relay.hear(StoreItem("servers/i-1", b"entry", 6), revision=6)
-    told = await ask(Wire(relay.server))
-    assert isinstance(told, RelayedChanges)
-    assert told.revision == 6
-    assert [(change.key, change.value) for change in told.changes] == [("servers/i-1", b"entry")]
+    received = await ask(Transport(relay.server))
+    assert isinstance(received, RelayedChanges)
+    assert received.revision == 6
+    assert [(change.key, change.value) for change in received.changes] == [("servers/i-1", b"entry")]
 
 
 async def test_question_waits_for_the_next_word_of_the_store() -> None:
     relay = Relay()
-    told = []
+    received = []
 
     async def wait() -> None:
-        told.append(await ask(Wire(relay.server)))
+        received.append(await ask(Transport(relay.server)))
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(wait)
         await anyio.sleep(0.1)
-        assert not told
+        assert not received
         relay.hear(revision=5)
-    assert isinstance(told[0], RelayedChanges)
-    assert told[0].changes == []
+    assert isinstance(received[0], RelayedChanges)
+    assert received[0].changes == []
 
 
 async def test_time_of_the_word_is_never_taken_for_later_than_it_was() -> None:
@@ -192,23 +192,23 @@
     confirmed_at = relay.view.contact.confirmed_at
     relay.log.append([StoreItem("servers/i-1", b"entry", 6)], 6)
     await anyio.sleep(0.1)
-    told = await ask(Wire(relay.server, delay=0.2))
-    assert isinstance(told, RelayedChanges)
-    assert confirmed_at - 0.05 <= told.contact.confirmed_at <= confirmed_at
+    received = await ask(Transport(relay.server, delay=0.2))
+    assert isinstance(received, RelayedChanges)
+    assert confirmed_at - 0.05 <= received.contact.confirmed_at <= confirmed_at
 
 
 async def test_relay_that_has_long_not_heard_of_the_store_counts_for_nothing() -> None:
     relay = Relay()
     await anyio.sleep(TIMES.ask - TIMES.hold + 0.05)
     with anyio.fail_after(TIMES.hold + 0.5):
-        assert await ask(Wire(relay.server)) is NoChanges.OUT_OF_TOUCH
+        assert await ask(Transport(relay.server)) is NoChanges.OUT_OF_TOUCH
 
 
 async def test_answer_after_the_whole_hold_counts_for_nothing() -> None:
     """Else a relay whose link to the store is cut silently is left only after 1.91 s, and 2 s are allowed."""
     relay = Relay()
     with anyio.fail_after(TIMES.hold + 0.1):
-        assert await ask(Wire(relay.server)) is NoChanges.OUT_OF_TOUCH
+        assert await ask(Transport(relay.server)) is NoChanges.OUT_OF_TOUCH
 
 
 async def test_relay_that_cannot_reach_the_store_says_so_at_once() -> None:
@@ -222,17 +222,17 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(fail)
         with anyio.fail_after(0.3):
-            assert await ask(Wire(relay.server)) is NoChanges.OUT_OF_TOUCH
+            assert await ask(Transport(relay.server)) is NoChanges.OUT_OF_TOUCH
 
 
 async def test_troubles_of_the_store_are_told_with_their_times() -> None:
     relay = Relay()
     relay.view.note_failure()
     relay.hear(StoreItem("servers/i-1", None, 6), revision=6)
-    told = await ask(Wire(relay.server))
-    assert isinstance(told, RelayedChanges)
-    assert not told.contact.is_in_trouble
-    assert told.contact.returned_at == pytest.approx(relay.view.contact.returned_at, abs=0.05)
+    received = await ask(Transport(relay.server))
+    assert isinstance(received, RelayedChanges)
+    assert not received.contact.is_in_trouble
+    assert received.contact.returned_at == pytest.approx(relay.view.contact.returned_at, abs=0.05)
 
 
 @pytest.mark.parametrize(
@@ -260,11 +260,11 @@
     """An asker that gets state that is too old leaves its relay, and so do all others at the same moment."""
     relay = Relay()
     relay.view.contact = dataclasses.replace(relay.view.contact, confirmed_at=time.monotonic() - TIMES.ask - 0.1)
-    told: list[RelayedChanges | NoChanges] = []
+    received: list[RelayedChanges | NoChanges] = []
     async with anyio.create_task_group() as tasks:
 
         async def follow() -> None:
-            told.append(await ask(Wire(relay.server)))
+            received.append(await ask(Transport(relay.server)))
 
         tasks.start_soon(follow)
         await anyio.sleep(0.05)
@@ -272,5 +272,5 @@
         relay.log.wake()
         await anyio.sleep(0.05)
         relay.hear(revision=6)
-    assert isinstance(told[0], RelayedChanges)
-    assert told[0].revision == 6
+    assert isinstance(received[0], RelayedChanges)
+    assert received[0].revision == 6
--- a/tests/node/traffic/sharing/test_crashsharing.py
+++ b/tests/node/traffic/sharing/test_crashsharing.py
@@ -34,7 +34,7 @@
         self.nodes: dict[str, CrashSharing] = {}
         self.boards: dict[str, CrashBoard] = {}
         self.cut: set[str] = set()
-        self.words = 0
+        self.message_count = 0
         self._names = names
         for name in names:
             self.add(name)
@@ -51,7 +51,7 @@
     ) -> Reply | Failed:
         sender = msgspec.json.decode(body)["vm"]
         assert target == CRASHES_PATH
-        self.words += 1
+        self.message_count += 1
         if {address, sender} & self.cut:
             return Failed("cut", was_sent=False)
         self.nodes[address].take(body)
@@ -76,9 +76,9 @@
         mesh.end(names[-1], "i-2")
         await wait_for(lambda: mesh.list_barring() == set(names))
         await anyio.sleep(0.3)
-        told = mesh.words
+        told = mesh.message_count
         await anyio.sleep(0.3)
-        assert mesh.words == told  # no further messages, as all nodes know the same
+        assert mesh.message_count == told  # no further messages, as all nodes know the same
         assert told <= 12 * count
         tasks.cancel_scope.cancel()
 
@@ -134,11 +134,11 @@
             for name in names:
                 mesh.end(name, f"i-{name}-{number}")
         await anyio.sleep(0.3)
-        mesh.words = 0
+        mesh.message_count = 0
         for _ in range(20):  # requests within one second; no message is delivered
             mesh.nodes["entry-2"].compare(VmId("entry-1"), mesh.nodes["entry-1"].check)
             await anyio.sleep(0.02)
-        assert mesh.words <= 2
+        assert mesh.message_count <= 2
         tasks.cancel_scope.cancel()
 
 
--- a/tests/node/traffic/sharing/test_longvalues.py
+++ b/tests/node/traffic/sharing/test_longvalues.py
@@ -58,7 +58,7 @@
     return changes[0]
 
 
-class Wire(Caller):
+class Transport(Caller):
     """Delivers requests to relays in this process, and to a store that holds one item."""
 
     def __init__(self, relays: Mapping[str, ChangeLog | Reply], stored: StoreItem | None = None) -> None:
@@ -83,42 +83,42 @@
         return relay or Failed("nobody there", was_sent=False)
 
 
-def make_reader(log: ChangeLog, wire: Wire) -> LongValueReader:
+def make_reader(log: ChangeLog, transport: Transport) -> LongValueReader:
     view = PlatformView(5.0, time.monotonic)
     view.nodes = {VmId(f"entry-{number}"): f"entry-{number}" for number in range(1, 9)}
-    store = PlatformStore(wire, ServerAddress(STORE))
-    return LongValueReader(vm=VmId("other"), store=store, view=view, log=log, caller=wire)
+    store = PlatformStore(transport, ServerAddress(STORE))
+    return LongValueReader(vm=VmId("other"), store=store, view=view, log=log, caller=transport)
 
 
 async def test_newer_version_is_made_of_its_difference() -> None:
     """Otherwise each node reads the whole configuration, 545 KB, when a single timeout changes."""
     newest = make_item(5, "changed")
-    relay, wire = make_log(make_item(3), newest), Wire({})
+    relay, transport = make_log(make_item(3), newest), Transport({})
     change = tell(relay, 4)
     assert change.difference is not None
     assert len(change.difference) < 500
-    assert await make_reader(make_log(make_item(3)), wire).read(change, "relay") == newest
-    assert wire.asked == []
+    assert await make_reader(make_log(make_item(3)), transport).read(change, "relay") == newest
+    assert transport.asked == []
 
 
 async def test_node_with_another_version_asks_for_the_whole_value() -> None:
     newest = make_item(5, "changed")
     relay = make_log(make_item(3), newest)
-    wire = Wire({"relay": relay})
+    transport = Transport({"relay": relay})
     change = tell(relay, 4)
     assert change.base == 3
-    assert await make_reader(make_log(make_item(2, "older")), wire).read(change, "relay") == newest
-    assert wire.asked == ["relay"]
+    assert await make_reader(make_log(make_item(2, "older")), transport).read(change, "relay") == newest
+    assert transport.asked == ["relay"]
 
 
 async def test_difference_that_gives_another_value_is_not_taken() -> None:
     newest = make_item(5, "changed")
     relay = make_log(make_item(3), newest)
-    wire = Wire({"relay": relay})
+    transport = Transport({"relay": relay})
     change = tell(relay, 4)
     another = StoreItem(KEY, b" " + (make_item(3).value or b""), 3)  # differs in a piece that is copied
-    assert await make_reader(make_log(another), wire).read(change, "relay") == newest
-    assert wire.asked == ["relay"]
+    assert await make_reader(make_log(another), transport).read(change, "relay") == newest
+    assert transport.asked == ["relay"]
 
 
 @pytest.mark.parametrize(
@@ -135,25 +135,28 @@
     newest = make_item(5, "changed")
     relay = make_log(make_item(3), newest)
     names = [f"entry-{number}" for number in range(1, 9)]
-    wire = Wire({"relay": reply, **dict.fromkeys(names, relay)}, stored=newest)
+    transport = Transport({"relay": reply, **dict.fromkeys(names, relay)}, stored=newest)
     change = Change(KEY, 5, None, is_left_out=True)
-    assert await make_reader(make_log(make_item(3)), wire).read(change, "relay") == newest
-    assert wire.asked[0] == "relay"
-    assert len(wire.asked) == 2
-    assert STORE not in wire.asked
+    assert await make_reader(make_log(make_item(3)), transport).read(change, "relay") == newest
+    assert transport.asked[0] == "relay"
+    assert len(transport.asked) == 2
+    assert STORE not in transport.asked
 
 
 async def test_store_is_read_when_no_relay_gives_the_value() -> None:
     newest = make_item(5, "changed")
-    wire = Wire({}, stored=newest)
+    transport = Transport({}, stored=newest)
     change = Change(KEY, 5, None, is_left_out=True)
-    assert await make_reader(make_log(make_item(3)), wire).read(change, "relay") == newest
-    assert wire.asked[-1] == STORE
+    assert await make_reader(make_log(make_item(3)), transport).read(change, "relay") == newest
+    assert transport.asked[-1] == STORE
 
 
 async def test_value_that_nobody_gives_is_none() -> None:
-    wire = Wire({})
-    assert await make_reader(make_log(make_item(3)), wire).read(Change(KEY, 5, None, is_left_out=True), "relay") is None
+    transport = Transport({})
+    assert (
+        await make_reader(make_log(make_item(3)), transport).read(Change(KEY, 5, None, is_left_out=True), "relay")
+        is None
+    )
 
 
 async def test_relay_gives_values_one_after_the_other_and_refuses_who_would_wait_too_long() -> None:
