--- a/packages/node/src/vaneturn_node/traffic/servers/permits.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/permits.py
@@ -44,7 +44,7 @@
     age: float
 
 
-class ReportedLimit(Struct, array_like=True):
+class LimitRow(Struct, array_like=True):
     """A changed limit, as a node reports it to others."""
 
     server: str
@@ -95,13 +95,13 @@
         self._issuer.forget_absent(self._view.servers)
         self._backoff_until = {vm: until for vm, until in self._backoff_until.items() if vm in self._view.nodes}
 
-    def list_changed_limits(self) -> list[ReportedLimit]:
+    def list_changed_limits(self) -> list[LimitRow]:
         """List the recently changed limits."""
         now = read_clock()
         news = self._limits.list_news(now)
-        return [ReportedLimit(server, limit.rate, max(0.0, now - limit.at)) for server, limit in news.items()]
+        return [LimitRow(server, limit.rate, max(0.0, now - limit.at)) for server, limit in news.items()]
 
-    def apply_reported_limits(self, reported: Iterable[ReportedLimit]) -> None:
+    def apply_limits(self, reported: Iterable[LimitRow]) -> None:
         """Apply limits that another node reported; invalid ones are ignored."""
         now = read_clock()
         for limit in reported:
@@ -161,4 +161,4 @@
         return permit if self._is_valid(server, permit.rate, permit.age) else None
 
 
-__all__ = ["PERMITS_PATH", "PermitReply", "PermitRequest", "Permits", "ReportedLimit"]
+__all__ = ["PERMITS_PATH", "LimitRow", "PermitReply", "PermitRequest", "Permits"]
--- a/packages/node/src/vaneturn_node/traffic/sharing/changeclient.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changeclient.py
@@ -97,7 +97,7 @@
         if total is not None:
             self._board.take_total(total, loads)
         self._losses.take_confirmed(answer.losses, address)
-        self._permits.apply_reported_limits(answer.limits)
+        self._permits.apply_limits(answer.limits)
         return RelayedChanges(answer.revision, answer.changes, contact)
 
     async def report_loads(self, address: str, loads: Loads) -> None:
--- a/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
@@ -96,7 +96,7 @@
         report = decode_load_report(request.body, self._view.servers)
         if report is not None:
             self._crashes.compare(report.vm, report.crashes)
-            self._permits.apply_reported_limits(report.limits)
+            self._permits.apply_limits(report.limits)
         if request.path == LOADS_PATH and report is not None:
             self._board.take_relay(report.vm, report.loads)
             await answer.send_whole(OK, [], b"")
--- a/packages/node/src/vaneturn_node/traffic/sharing/peerwords.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/peerwords.py
@@ -14,7 +14,7 @@
 from vaneturn_core.traffic.loads import Loads
 from vaneturn_core.traffic.servers import ServerId
 from vaneturn_node.http1.caller import Caller, Failed, Reply
-from vaneturn_node.traffic.servers.permits import ReportedLimit
+from vaneturn_node.traffic.servers.permits import LimitRow
 from vaneturn_node.traffic.sharing.changelog import Change
 from vaneturn_node.traffic.sharing.serverrows import unpack_loads
 
@@ -31,7 +31,7 @@
     vm: VmId
     loads: bytes  # packed
     crashes: int = 0  # checksum of the crashes that the node knows of
-    limits: list[ReportedLimit] = []  # recently changed rate limits of servers
+    limits: list[LimitRow] = []  # recently changed rate limits of servers
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
     vm: VmId
     loads: Loads
     crashes: int
-    limits: list[ReportedLimit]
+    limits: list[LimitRow]
 
 
 class RelayAnswer(Struct):
@@ -55,7 +55,7 @@
     returned_age: float | None
     loads: bytes = b""  # of all nodes, packed
     losses: bytes = b""  # servers that two or more nodes have found lost, packed
-    limits: list[ReportedLimit] = []  # recently changed rate limits of servers
+    limits: list[LimitRow] = []  # recently changed rate limits of servers
 
 
 async def send_message(caller: Caller, address: str, path: str, limit: float, message: Struct) -> None:
--- a/tests/node/traffic/servers/test_permits.py
+++ b/tests/node/traffic/servers/test_permits.py
@@ -121,7 +121,7 @@
     await count_permits(network, ASKER, 3)
     network.tell(SECOND, None)
     assert await count_permits(network, SECOND, 3) == 3
-    network.nodes[FIRST].permits.apply_reported_limits(network.nodes[SECOND].permits.list_changed_limits())
+    network.nodes[FIRST].permits.apply_limits(network.nodes[SECOND].permits.list_changed_limits())
     assert await count_permits(network, ASKER, 3) == 3
 
 
--- a/tests/node/traffic/sharing/test_changes.py
+++ b/tests/node/traffic/sharing/test_changes.py
@@ -21,7 +21,7 @@
 from vaneturn_node.http1.pool import LinkPool
 from vaneturn_node.http1.server import ClientRequest
 from vaneturn_node.platform.store import StoreItem
-from vaneturn_node.traffic.servers.permits import ReportedLimit
+from vaneturn_node.traffic.servers.permits import LimitRow
 from vaneturn_node.traffic.sharing.changeclient import ChangeClient, NoChanges, RelayedChanges
 from vaneturn_node.traffic.sharing.changelog import ChangeLog
 from vaneturn_node.traffic.sharing.changeserver import CHANGES_PATH, ChangeServer
@@ -139,16 +139,14 @@
     """Otherwise each node keeps its rate until a server's answer to it contains the limit."""
     relay, other = Relay(), Relay()
     reporter, _ = make_client(Transport(relay.server), "entry-2")
-    reporter._permits.apply_reported_limits(
-        [ReportedLimit("i-1", 2.5, 0.0), ReportedLimit("i-9", 2.5, 0.0), ReportedLimit("i-1", -1.0, 0.0)]
-    )
+    reporter._permits.apply_limits([LimitRow("i-1", 2.5, 0.0), LimitRow("i-9", 2.5, 0.0), LimitRow("i-1", -1.0, 0.0)])
     relay.hear(StoreItem("servers/i-1", b"entry", 6), revision=6)
     await reporter.ask("relay", 5)
     asker, _ = make_client(Transport(relay.server), "entry-3")
     await asker.ask("relay", 5)
     assert [(one.server, one.rate) for one in asker._permits.list_changed_limits()] == [("i-1", 2.5)]
     between_relays, _ = make_client(Transport(other.server), "entry-1")
-    between_relays._permits.apply_reported_limits(relay.parts.permits.list_changed_limits())
+    between_relays._permits.apply_limits(relay.parts.permits.list_changed_limits())
     await between_relays.report_loads("relay", {})
     assert other.parts.limits.list_limited() == {BUSY: 2.5}
 
