--- a/packages/core/src/vaneturn_core/traffic/chain.py
+++ b/packages/core/src/vaneturn_core/traffic/chain.py
@@ -1,4 +1,4 @@
-"""A chain of backend servers that runs all layers of one request."""
+"""Chains: the backend servers that together run all layers of a model for one request."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 
     @property
     def first(self) -> BackendServer:
-        """The server that takes the request and answers it."""
+        """The server that receives the request and answers it."""
         return self.parts[0].server
 
     def count_crossings(self) -> int:
-        """Count the parts whose tokens come from another hall."""
+        """Count the neighbouring parts that are in different halls."""
         return sum(one.server.hall != other.server.hall for one, other in itertools.pairwise(self.parts))
 
 
 def assert_chain(parts: Sequence[Part], layers: int) -> None:
-    """Stop the process on parts that do not tile all layers, or name a server twice.
+    """Check that parts cover all layers exactly once, each on a different server.
 
-    :raises AssertionError: the invariant is broken.
+    :raises AssertionError: they do not; nothing catches it, so the process stops.
     """
     assert_tiling(parts, layers)
     if len({part.server.address for part in parts}) != len(parts):
-        raise AssertionError(f"a server stands twice in a chain: {parts}")
+        raise AssertionError(f"a chain uses the same server more than once: {parts}")
 
 
 __all__ = ["Chain", "Part", "assert_chain"]
--- a/packages/core/src/vaneturn_core/traffic/chains.py
+++ b/packages/core/src/vaneturn_core/traffic/chains.py
@@ -1,4 +1,4 @@
-"""Choice of the chain of backend servers that runs all layers of one request."""
+"""Selection of the chain of backend servers that runs all layers of one request."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 from vaneturn_core.traffic.loads import LoadBoard
 from vaneturn_core.traffic.servers import BackendServer, ServerId
 
-GROWTH_WEIGHT: Final = 2.0  # of a step's growth by the requests there: one more slows them all by as much again
-PIPE_WEIGHT: Final = 4.0  # of the time that a prompt takes a pipe between halls: all who share it wait as well
-OUTSIDE: Final = ""  # where a request is before the first server
-VERY_SLOW: Final = 2.5  # times slower than its kind: streams over such a server pause for too long
-SLOW_TIME: Final = 0.3  # seconds that such a server counts as slower: more than a crossing, less than a full one
-MAX_PARTS: Final = 32  # that a chain may have
+GROWTH_WEIGHT: Final = 2.0  # of a server's step growth: a new request slows the others there by as much again
+PIPE_WEIGHT: Final = 4.0  # of the time of a prompt on an inter-hall link: all who share the link wait as well
+OUTSIDE: Final = ""  # hall of a request before its first server
+VERY_SLOW: Final = 2.5  # slowness from which the pauses of streams over a server are too long
+SLOW_TIME: Final = 0.3  # seconds; penalty for a very slow server: above that of a crossing, below that of a full server
+MAX_PARTS: Final = 32  # per chain
 CANDIDATES: Final = 2  # chains that are compared
-MAX_LOOKS: Final = 3  # pairs of first servers that are tried for them; then all are searched
+MAX_LOOKS: Final = 3  # pairs of first servers tried for these; after that, all first servers are searched
 MAX_HOLDERS: Final = (
-    6  # looked at for each boundary, picked at random: the time of a choice stays the same in big fleets
+    6  # servers compared per boundary, sampled at random, so that a choice takes no longer in a large fleet
 )
 
 
 @dataclass(frozen=True, slots=True)
 class _Way:
-    """The cheapest way found to a boundary, as a linked list of parts."""
+    """The cheapest path found to a boundary, as a linked list of parts."""
 
     cost: float
     part: Part | None
@@ -51,15 +51,15 @@
 
 @dataclass(frozen=True, slots=True)
 class _Load:
-    """What a server's load does to the time of a part."""
+    """The load of a server, as far as it affects the time of a part."""
 
     taken: float  # tokens times layers of the requests in progress, from all nodes
-    leading: float  # requests in progress that it is the first server of, from all nodes
+    leading: float  # requests in progress whose first server it is, from all nodes
     slowness: float
 
 
 class ChainChooser:
-    """Chooses by the time of a token and by how full each server is; one instance for each choice."""
+    """Chooses the chain with the lowest estimated token time, crowding included; create one instance per choice."""
 
     def __init__(
         self,
@@ -79,17 +79,17 @@
     ) -> None:
         """Prepare a choice.
 
-        :param layer_map: of the servers in the list.
-        :param node: this one, for the servers that its chains begin at.
-        :param hall: of this node.
-        :param share: how many times this node's requests are in progress over all nodes, where nothing better is told.
-        :param prompt: tokens of the request's prompt.
-        :param tokens: that the request will hold in the end.
-        :param now: steady time, for what was told a while ago.
-        :param board: what the other nodes have in progress.
-        :param rate: streams a second of this node.
-        :param nodes: that share the pipes between halls.
-        :param draw: of the request, from 0 to 1; it may cross from hall to hall if it is below the share that may.
+        :param layer_map: layer map of the servers in the list.
+        :param node: this node; its first servers depend on it.
+        :param hall: hall of this node.
+        :param share: ratio of the load of all nodes to that of this node, for servers without reported loads.
+        :param prompt: length of the request's prompt in tokens.
+        :param tokens: expected length of the prompt and the answer in tokens.
+        :param now: monotonic time; decides whether reports are recent.
+        :param board: loads that other nodes reported.
+        :param rate: streams per second of this node.
+        :param nodes: number of nodes that share the inter-hall links.
+        :param draw: random number from 0 to 1 for this request; it may cross halls if below the admitted share.
         """
         self._layer_map = layer_map
         self._engine: EngineProfile = layer_map.engine
@@ -103,25 +103,25 @@
         self._rate = rate
         self._nodes = nodes
         self._draw = draw
-        self.is_crossing_refused = False  # a chain over halls was found, but the pipes have no time for it
+        self.is_crossing_refused = False  # a chain across halls was found, but the links lack capacity for it
         self._transfer_time = prompt * self._engine.handover_bytes / self._engine.pipe_rate
         self._pipe_time = PIPE_WEIGHT * self._transfer_time
 
     def choose(self, able: Iterable[BackendServer]) -> Chain | None:
         """Choose a chain over servers that may get work; none when they do not hold all layers.
 
-        Chains inside one hall are searched first. A chain over more halls costs a pipe at least, so it is searched only
-        when no hall offers one for less than that.
+        Chains inside one hall are searched first. A chain across halls costs at least one link transfer, so these are
+        searched only when no hall offers a chain for less than that.
         """
         loads = self._read_loads(able)
         firsts = self._list_firsts(loads)
         best = min(self._find_candidates(firsts, loads), key=lambda way: way.cost, default=None)
-        if best is None or best.cost >= FULL_TIME:  # no request is turned away while there is room elsewhere
+        if best is None or best.cost >= FULL_TIME:  # other first servers may have capacity
             best = self._find_best({server.id for server in firsts}, loads)
         return Chain(self._engine.layers, tuple(best.list_parts())) if best is not None else None
 
     def _find_candidates(self, firsts: Sequence[BackendServer], loads: Mapping[ServerId, _Load]) -> list[_Way]:
-        """Find the ways inside a hall from the candidates of this node; one that leads nowhere gives way to another."""
+        """Find paths inside a hall from this node's candidate first servers; tries others where there is no path."""
         ways: list[_Way] = []
         left = list(firsts)
         for _ in range(MAX_LOOKS):
@@ -134,13 +134,13 @@
         return ways[:CANDIDATES]
 
     def _list_firsts(self, loads: Mapping[ServerId, _Load]) -> list[BackendServer]:
-        """List the servers that a chain may begin with."""
+        """List the servers that may be the first of a chain."""
         holders = self._layer_map.everywhere.get(0, ())
         servers = [options[0].part.server for options in holders]
         return [one for one in servers if one.id in loads and self._beliefs[one.id].may_take_request(self._now)]
 
     def _find_best(self, firsts: Collection[ServerId], loads: Mapping[ServerId, _Load]) -> _Way | None:
-        """Find the cheapest way through all layers that begins with one of some servers."""
+        """Find the cheapest path through all layers that begins with one of the first servers."""
         found = [self._find_whole_way(boundaries, loads, firsts) for boundaries in self._layer_map.halls.values()]
         best = min((way for way in found if way is not None), key=lambda way: way.cost, default=None)
         if best is not None and best.cost <= self._pipe_time:
@@ -154,22 +154,22 @@
         return best
 
     def _may_cross(self, way: _Way) -> bool:
-        """Tell whether the pipes have time for a request over such a way."""
+        """Tell whether the inter-hall links have capacity for a request over this path."""
         crossings = Chain(self._engine.layers, tuple(way.list_parts())).count_crossings()
         return self._draw < compute_crossing_share(self._rate, self._nodes, crossings * self._transfer_time)
 
     def estimate_fullness(self, chain: Chain) -> float:
-        """Estimate how much of the memory, or of the places, of the fullest server is taken, without this request."""
+        """Estimate the share of memory, or of slots, in use on the fullest server, without this request."""
         return max(self.estimate_server(part.server, is_first=part is chain.parts[0]) for part in chain.parts)
 
     def estimate_server(self, server: BackendServer, *, is_first: bool) -> float:
-        """Estimate how much of the memory of a server is taken, or of its places where it is the first of a chain."""
+        """Estimate the share of a server's memory in use; for a first server, that of its slots if it is larger."""
         load = self._read_loads([server])[server.id]
         places = load.leading / max(1, server.slots) if is_first else 0.0
         return max(places, _compute_taken(server, load, self._engine))
 
     def choose_replacement(self, able: Iterable[BackendServer], parts: Sequence[Part], lost: Part) -> list[Part]:
-        """Choose servers for the layers of a lost part of a chain; empty when none are free beside the other parts."""
+        """Choose servers, not used by the other parts, for the layers of a lost part; empty when there are none."""
         kept = [part for part in parts if part is not lost]
         taken = {part.server.address for part in kept}
         holders = [
@@ -204,7 +204,7 @@
     def _find_whole_way(
         self, boundaries: Boundaries, loads: Mapping[ServerId, _Load], firsts: Collection[ServerId]
     ) -> _Way | None:
-        """Find the cheapest way through all layers that can be a chain."""
+        """Find the cheapest path through all layers; none if it has too many parts or uses a server twice."""
         able = [options for options in boundaries.get(0, ()) if options[0].part.server.id in firsts]
         if not able:
             return None
@@ -218,9 +218,9 @@
     def _find_ways(
         self, boundaries: Boundaries, loads: Mapping[ServerId, _Load], before: str, end: int
     ) -> dict[str, _Way]:
-        """Find the cheapest way from the first boundary to the end, for each hall that it may end in.
+        """Find the cheapest path from the first boundary to the end, for each hall that it may end in.
 
-        Only the best way into each data hall is kept at a boundary: what follows costs the same after any of them.
+        A boundary keeps only the cheapest path into each data hall: what follows costs the same after any of them.
         """
         ways: defaultdict[int, dict[str, _Way]] = defaultdict(dict)
         ways[min(boundaries, default=0)][before] = _Way(0.0, None, None)
@@ -232,7 +232,7 @@
         return ways[end]
 
     def _extend(self, ways: Mapping[int, dict[str, _Way]], options: HolderOptions, load: _Load) -> None:
-        """Go on over one server, to each boundary that it may end at."""
+        """Extend the cheapest path by one server, to each boundary where its part may end."""
         part = options[0].part
         hall = part.server.hall
         cost, before = min(
@@ -248,7 +248,7 @@
                 ways[option.part.end][hall] = _Way(whole, option.part, before)
 
     def _estimate_crossing(self, one: str, other: str) -> float:
-        """Estimate the time between two servers of a chain, or from this node to the first."""
+        """Estimate the seconds from one hall to another, or from this node to the first server."""
         if one == other:
             return 0.0
         if one == OUTSIDE:
@@ -267,13 +267,13 @@
 
 
 def _compute_taken(server: BackendServer, load: _Load, engine: EngineProfile) -> float:
-    """Compute the share of a server's memory that is taken."""
+    """Compute the share of a server's memory that is in use."""
     room = server.compute_room(engine)
     return load.taken / room if room > 0 else 1.0
 
 
 def _pick_holders(holders: Sequence[HolderOptions], loads: Mapping[ServerId, _Load]) -> Sequence[HolderOptions]:
-    """Pick the holders to look at, among those that may get work."""
+    """Sample the holders to compare, among those that may get work."""
     able = [options for options in holders if options[0].part.server.id in loads]
     return able if len(able) <= MAX_HOLDERS else random.sample(able, MAX_HOLDERS)
 
--- a/packages/core/src/vaneturn_core/traffic/crowding.py
+++ b/packages/core/src/vaneturn_core/traffic/crowding.py
@@ -1,16 +1,16 @@
-"""What it costs a request that others are in progress on a server already."""
+"""The cost, for a new request, of the requests already in progress on a server."""
 
 from __future__ import annotations
 
 from typing import Final
 
-CROWDING_TIME: Final = 0.006  # seconds that a half-full server counts as slower
-FULL: Final = 0.97  # of a server's memory; beyond it, requests are put back
-FULL_TIME: Final = 10.0  # seconds that a full server counts as slower: it is taken only if no other is left
+CROWDING_TIME: Final = 0.006  # seconds; penalty for a half-full server
+FULL: Final = 0.97  # of a server's memory; above that, the server puts requests back
+FULL_TIME: Final = 10.0  # seconds; penalty for a full server, so large that it is chosen only if no other is left
 
 
 def estimate_crowding(share: float) -> float:
-    """Estimate the seconds that a server counts as slower when so much of its memory, or of its places, is taken."""
+    """Estimate the time penalty for a server, in seconds, from the share of its memory or slots in use."""
     return FULL_TIME * share if share >= FULL else CROWDING_TIME * share / (1 - share)
 
 
--- a/packages/core/src/vaneturn_core/traffic/firsts.py
+++ b/packages/core/src/vaneturn_core/traffic/firsts.py
@@ -1,9 +1,10 @@
-"""Which servers a node's chains begin at: a few of its own, so that knowledge and connections stay with few.
+"""Selection of the first servers of a node's chains, from a few that are fixed for each node.
 
-Load pattern: hundreds of nodes, each with about one request a second, all with the same word of load that is 1 to 2 s
-old. The least loaded chain of all would get every node's requests until the next word; so a choice is the better of two
-at random, which bounds what one chain can get. Taken from all servers these two would nearly always be servers that the
-node has no open connection to, most of them in other halls; so they are taken from a few that a hash deals to the node.
+Hundreds of nodes, each with about one request per second, share load reports that are 1 to 2 s old. If each node chose
+the least loaded chain, that chain would get all requests until the next report. So a node compares two candidates drawn
+at random, which limits what one chain can get. If they were drawn from all servers, the node would rarely have an open
+connection to them, and most would be in other halls. So they are drawn from a few servers that a hash assigns to the
+node.
 """
 
 from __future__ import annotations
@@ -16,14 +17,14 @@
 from vaneturn_core.traffic.relays import hash_text
 from vaneturn_core.traffic.servers import BackendServer
 
-# dealt to a node in its own hall, and as many in all halls. In a model of 195 nodes and 190 servers, 58% of requests
-# come within 6 s of another of the node on the same first server, 11% with two of all servers at random; 63% stay in
-# the hall, 23% with those; the busiest first server gets 1.7 times the mean
+# servers assigned to a node in its own hall, and as many in all halls. In a model of 195 nodes and 190 servers, 58% of
+# requests come within 6 s of another one from the same node on the same first server, and 63% stay in the hall; with
+# two servers drawn from all, these are 11% and 23%. The busiest first server gets 1.7 times the mean
 HOME_FIRSTS: Final = 2
 
 
 def pick_firsts(node: VmId, hall: DataHall, firsts: Sequence[BackendServer]) -> list[BackendServer]:
-    """Pick the candidates of one choice: one in the node's hall and one anywhere, where there are such.
+    """Pick the candidates of one choice: one in the node's hall and one in any hall, as far as there are any.
 
     :param firsts: servers that hold the first layer and may get new work.
     """
--- a/packages/core/src/vaneturn_core/traffic/layermap.py
+++ b/packages/core/src/vaneturn_core/traffic/layermap.py
@@ -1,4 +1,4 @@
-"""Who can run which layers from which boundary on: what does not depend on load, built once for a list of servers."""
+"""Index of the servers that can run layers from each boundary; independent of load, so built once per server list."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from vaneturn_core.traffic.configuration import EngineProfile
 from vaneturn_core.traffic.servers import BackendServer
 
-HOP_TIME: Final = 0.0008  # seconds a token waits at each server for the pass under way, from the published steps
+HOP_TIME: Final = 0.0008  # seconds that a token waits at each server for the current pass, from published step times
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,21 +24,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Option:
-    """A part that a chain may have, and what it costs without load."""
+    """A part that a chain may use, with its cost without load."""
 
     part: Part
-    room: float  # memory beside the layers, in tokens times layers
-    time: float  # seconds of a token step, at the usual speed of the server's kind
-    growth: float  # seconds that each token times layer in progress on the server adds to it
+    room: float  # memory of the server not used by layers, in tokens times layers
+    time: float  # seconds per token step, at the usual speed of the server's kind
+    growth: float  # seconds that each unit of load (token times layer) on the server adds to a step
 
     @property
     def length(self) -> int:
-        """Give the number of layers."""
+        """Return the number of layers."""
         return self.part.end - self.part.first
 
 
-HolderOptions = Sequence[Option]  # of one server from one boundary on; none is empty
-Boundaries = Mapping[int, Sequence[HolderOptions]]  # in rising order
+HolderOptions = Sequence[Option]  # options of one server that begin at the same boundary; never empty
+Boundaries = Mapping[int, Sequence[HolderOptions]]  # by boundary, in ascending order
 
 
 class LayerMap:
@@ -55,14 +55,14 @@
         self.everywhere = index_options(engine, holders, 0, engine.layers)
 
     def is_of(self, engine: EngineProfile, servers: Sequence[BackendServer]) -> bool:
-        """Tell whether it was built for such servers."""
+        """Tell whether it was built for this engine and these servers."""
         return self.engine is engine and self.servers == servers
 
 
 def index_options(engine: EngineProfile, holders: Sequence[BackendServer], first: int, end: int) -> Boundaries:
-    """Index what each holder can run inside the layers [first, end), by the boundary where it begins.
+    """Index the options of each holder inside the layers [first, end), by the boundary where they begin.
 
-    A part ends with its server's range, or where another server's range begins; from there that one may go on.
+    A part ends where its server's range ends, or where the range of another server begins, which may take over there.
     """
     begins = {layers.first for server in holders for layers in server.layers if first < layers.first < end}
     ends = {layers.end for server in holders for layers in server.layers if first < layers.end < end}
