--- a/packages/core/src/vaneturn_core/traffic/beliefs.py
+++ b/packages/core/src/vaneturn_core/traffic/beliefs.py
@@ -1,4 +1,4 @@
-"""What a node has seen of the backend servers, and what they have asked of it."""
+"""The status of each backend server: what this node has observed, what others reported, what the server asked for."""
 
 from __future__ import annotations
 
@@ -8,73 +8,75 @@
 
 from vaneturn_core.traffic.servers import BackendServer, ServerId, ServerLoad, ServerState
 
-FIRST_REST: Final = 0.7  # seconds without new work after a failure; a process restarts in about that time
-MAX_REST: Final = 8.0  # seconds; a server that is gone leaves the list sooner
-REST_GROWTH: Final = 2.0  # with each failure in a row
-FULL_REST: Final = 0.25  # seconds without new work after a refusal for want of room; some requests end in that time
-ALIVE_AGE: Final = 0.5  # seconds since a token for which a server that refuses is taken to be full, not lost
-LIKELY_FULL: Final = 0.6  # of its memory or places, from which a refusal is for want of room: word is 1 to 2 s old
-MEMORY_OF_FAILURES: Final = 12.0  # seconds after which a failure counts as the first again
+FIRST_REST: Final = 0.7  # seconds; backoff after a first failure: about the time that a process takes to restart
+MAX_REST: Final = 8.0  # seconds; a server that has ended leaves the list sooner
+REST_GROWTH: Final = 2.0  # factor for each consecutive failure
+FULL_REST: Final = 0.25  # seconds; backoff of a full server: some of its requests end in that time
+ALIVE_AGE: Final = 0.5  # seconds; a server that sent a token within this time and refuses is full, not lost
+# share of memory or places in use from which a refusal is taken as lack of capacity; below 1, since reported loads are
+# 1 to 2 s old
+LIKELY_FULL: Final = 0.6
+MEMORY_OF_FAILURES: Final = 12.0  # seconds; a failure after a longer gap counts as the first again
 LATENCY_WEIGHT: Final = 0.25  # of the newest answer in the moving average
-ERROR_WEIGHT: Final = 0.2  # of the newest answer in the share of errors
-MAX_ERRORS: Final = 0.5  # share of errors from which a server rests; sound ones answer up to 14% of requests so
-SLOWNESS_MEMORY: Final = 4.0  # seconds
-TOLD_AGE: Final = 1.5  # seconds for which a told load is compared with the own
-MAX_SHARE: Final = 3.0  # of the equal share: what was told may be as old as the time above
-RETURN_GAP: Final = 0.3  # seconds between requests to a server that asked for rest, until it has taken one
-MAX_RESTING_SHARE: Final = 0.5  # of the servers that could be chosen; beyond it, rest counts for nothing
+ERROR_WEIGHT: Final = 0.2  # of the newest answer in the moving error rate
+MAX_ERRORS: Final = 0.5  # error rate above which a server is backed off; healthy servers reach 14%
+SLOWNESS_MEMORY: Final = 4.0  # seconds for which a reported slowness is used
+TOLD_AGE: Final = 1.5  # seconds for which a load that a server reported is compared with this node's own
+MAX_SHARE: Final = 3.0  # times the equal share; limits the estimate, since a reported load may be TOLD_AGE old
+RETURN_GAP: Final = 0.3  # seconds between trial requests after a rest, until the server has accepted one
+MAX_RESTING_SHARE: Final = 0.5  # of the eligible servers; if more are backed off, backoffs are ignored
 
 
 @dataclass(slots=True)
 class ServerBelief:
-    """What this node has seen of one server."""
+    """The status of one server as this node knows it; all times are monotonic."""
 
     in_progress: int = 0
-    heard_at: float = float("-inf")  # when a token last came over a chain with this server
+    heard_at: float = float("-inf")  # when a chain with this server last delivered a token
     reserved: float = 0.0  # tokens times layers of the requests in progress from this node
-    latency: float = 0.0  # moving average of whole answers or first events, seconds
-    failures: int = 0  # in a row
+    latency: float = 0.0  # seconds; moving average over whole answers or first events
+    failures: int = 0  # consecutive
     failed_at: float = float("-inf")
-    full_until: float = float("-inf")  # until when it rests for want of room
-    told_until: float = float("-inf")  # until when it rests as other nodes have found it lost
-    found_until: float = float("-inf")  # until when it rests after failures seen by this node
-    permit_at: float = float("-inf")  # when it may next have room for a request from this node, by its rate limit
-    rest_until: float = float("-inf")  # until when it asked for no request from this node
-    returned_at: float = float("-inf")  # when a request last went there after a rest, to see whether it takes any
-    is_returning: bool = False  # it has not taken a request since it asked for rest
+    full_until: float = float("-inf")  # end of the backoff for lack of capacity
+    told_until: float = float("-inf")  # end of the backoff after losses that other nodes reported
+    found_until: float = float("-inf")  # end of the backoff after failures seen by this node
+    permit_at: float = float("-inf")  # earliest time at which its rate limit may allow a request from this node
+    rest_until: float = float("-inf")  # end of the rest that the server asked for
+    returned_at: float = float("-inf")  # when the last trial request after a rest was sent
+    is_returning: bool = False  # it has not accepted a request since it asked for rest
     is_leaving: bool = False  # it said so in an answer; the list may show that later
-    is_replaced: bool = False  # its address answered under another id
-    slowness: float = 1.0  # told by the server: over 1, it is slower than its kind
+    is_replaced: bool = False  # its address answered with another id
+    slowness: float = 1.0  # reported by the server; above 1, it is slower than its kind
     slowness_at: float = float("-inf")
-    leading: int = 0  # requests from this node that it is the first server of
-    told_load: int = 0  # requests running and waiting there from all nodes, as the server said last
+    leading: int = 0  # requests from this node whose first server it is
+    told_load: int = 0  # requests running and waiting there from all nodes, as last reported by the server
     told_at: float = float("-inf")
-    errors: float = 0.0  # share of its newest answers that were failures of its own
+    errors: float = 0.0  # moving average: share of answers that were failures of the server itself
 
     @property
     def resting_until(self) -> float:
-        """Give the time until which it gets no new work."""
+        """Return the end of the longest backoff; until then the server gets no new work."""
         return max(self.full_until, self.told_until, self.found_until)
 
     def may_take_request(self, now: float) -> bool:
-        """Tell whether the server accepts requests from this node, by what it has asked for itself.
+        """Tell whether its rate limit and the rest it asked for allow a request from this node.
 
-        Parts of a chain after the first get their work from other servers, so this does not concern them.
+        Only the first server of a chain gets requests from nodes, so this does not apply to the later parts.
         """
         return self.permit_at <= now and not self.is_closed(now)
 
     def is_closed(self, now: float) -> bool:
-        """Tell whether it asked for no requests, or is tried by a first one after that."""
+        """Tell whether it is leaving, is at rest, or has a trial request pending after its rest."""
         is_tried = self.is_returning and now < self.returned_at + RETURN_GAP
         return self.is_leaving or now < self.rest_until or is_tried
 
     def compute_wait(self, now: float) -> float:
-        """Compute the seconds until it may take a request, unless it leaves."""
+        """Compute the seconds until it may get a request, unless it is leaving."""
         returns_at = self.returned_at + RETURN_GAP if self.is_returning else self.rest_until
         return max(0.0, max(self.permit_at, self.rest_until, returns_at) - now)
 
     def claim_send(self, now: float) -> bool:
-        """Ask right before a send whether it may be made; false when it may not."""
+        """Claim permission for a send, right before it is made; false when the server is closed."""
         if self.is_closed(now):
             return False
         if self.is_returning:
@@ -82,55 +84,56 @@
         return True
 
     def take_rest(self, until: float) -> None:
-        """Take note that the server wants no request from this node until a time; the latest time holds."""
+        """Record that the server wants no request from this node until a time; the latest such time applies."""
         self.rest_until = max(self.rest_until, until)
         self.is_returning = True
 
     def note_taken(self, sent_at: float) -> None:
-        """Take note that the server has taken a request that was sent at a time."""
+        """Record that the server has accepted a request; one sent before the end of the rest proves nothing."""
         if sent_at >= self.rest_until:
             self.is_returning = False
 
     def record_success(self, seconds: float) -> None:
-        """Take an answer into the average; failures before it count no more."""
+        """Record an answer in the averages and reset the count of failures."""
         self.failures = 0
         self.latency = seconds if not self.latency else self.latency + LATENCY_WEIGHT * (seconds - self.latency)
 
         self.errors *= 1 - ERROR_WEIGHT
 
     def record_token(self, now: float) -> None:
-        """Take a token that came over a chain with this server; losses found or told before it count no more."""
+        """Record a token from a chain with this server; it ends backoffs for failures and reported losses."""
         self.heard_at = now
         self.failures = 0
         self.found_until = self.told_until = float("-inf")
 
     def record_error(self, now: float) -> None:
-        """Take a failure that the server itself reported; a server that reports many of them rests."""
+        """Record an error answer of the server itself; a high error rate counts as a failure."""
         self.errors += ERROR_WEIGHT * (1 - self.errors)
         if self.errors > MAX_ERRORS:
             self.errors = 0.0
             self.record_failure(now)
 
     def take_load(self, load: int, now: float) -> None:
-        """Take what a server said of its load."""
+        """Record the load that the server reported."""
         self.told_load = load
         self.told_at = now
 
     def take_slowness(self, slowness: float, now: float) -> None:
-        """Take what a server said of its speed."""
+        """Record the slowness that the server reported."""
         self.slowness = slowness
         self.slowness_at = now
 
     def read_slowness(self, now: float) -> float:
-        """Read its slowness; what was said long ago counts for nothing, so that it is tried again."""
+        """Return its slowness; an old report is ignored, so that the server is used again."""
         return self.slowness if now - self.slowness_at < SLOWNESS_MEMORY else 1.0
 
     def record_refusal(self, now: float, fullness: float = 0.0) -> None:
-        """Take a refusal; a server that has worked a moment ago, or was nearly full, lacks room, and has some soon.
+        """Record a refusal: a short backoff if the server is probably full, a failure otherwise.
 
-        With the rest of a lost server, up to 8 s, two full servers left no chain: 180 requests of a day were refused.
+        It is probably full if it sent a token a moment ago or was reported nearly full, and has capacity again soon.
+        With the backoff of a lost server, up to 8 s, two full servers left no chain and caused 180 refusals in a day.
 
-        :param fullness: share of its memory or places taken, by what nodes tell.
+        :param fullness: share of its memory or places in use, as reported by nodes.
         """
         if now - self.heard_at > ALIVE_AGE and fullness < LIKELY_FULL:
             self.record_failure(now)
@@ -138,14 +141,14 @@
         self.full_until = max(self.full_until, now + FULL_REST)
 
     def take_told_loss(self, until: float, now: float) -> bool:
-        """Take over that other nodes leave it alone until a time; false when this node has just heard from it."""
+        """Adopt the backoff of other nodes; false when a token came just now or the backoff is no longer than known."""
         if now - self.heard_at <= ALIVE_AGE or until <= self.resting_until:
             return False
         self.told_until = until
         return True
 
     def record_failure(self, now: float) -> float:
-        """Count a failure; gives the seconds for which the server gets no new work."""
+        """Record a failure and return the seconds of backoff."""
         if now - self.failed_at > MEMORY_OF_FAILURES:
             self.failures = 0
         rest = min(MAX_REST, FIRST_REST * REST_GROWTH**self.failures)
@@ -156,7 +159,7 @@
 
 
 class ServerBeliefs:
-    """The beliefs about all servers in the list."""
+    """The status of all servers in the list."""
 
     def __init__(self) -> None:
         self._beliefs: dict[ServerId, ServerBelief] = {}
@@ -166,7 +169,7 @@
 
     @property
     def heard_at(self) -> float:
-        """Give when a token last came over any chain, steady time."""
+        """Return the monotonic time at which the last token came over any chain."""
         return max((belief.heard_at for belief in self._beliefs.values()), default=float("-inf"))
 
     def list_loads(self) -> dict[ServerId, ServerLoad]:
@@ -178,13 +181,14 @@
         }
 
     def list_found(self, now: float) -> dict[ServerId, float]:
-        """List the servers that failed for this node, with the time until which it leaves them alone."""
+        """List the servers that are backed off after failures seen by this node, with the end of each backoff."""
         return {server: belief.found_until for server, belief in self._beliefs.items() if belief.found_until > now}
 
     def estimate_share(self, nodes: int, now: float) -> float:
-        """Estimate how many times this node's own requests are in progress over all nodes.
+        """Estimate the ratio of the requests in progress from all nodes to those from this node.
 
-        Servers tell the requests that they are the first of; without fresh word, nodes are taken to be alike.
+        It compares the loads that first servers report with this node's own; without a recent report, all nodes are
+        assumed to have the same load.
         """
         told = own = 0
         for belief in self._beliefs.values():
@@ -196,7 +200,7 @@
         return min(max(1.0, told / own), MAX_SHARE * nodes)
 
     def forget_absent(self, present: Mapping[ServerId, BackendServer]) -> None:
-        """Forget the servers that have left the list, unless requests are still in progress there."""
+        """Drop the status of servers that have left the list, unless they still have requests in progress."""
         for server in [one for one, belief in self._beliefs.items() if one not in present and not belief.in_progress]:
             del self._beliefs[server]
 
@@ -207,7 +211,7 @@
     def list_choosable(
         self, servers: Iterable[BackendServer], avoided: Iterable[ServerId], now: float
     ) -> list[BackendServer]:
-        """List the servers that may get new work; if too many of them rest, those that rest as well."""
+        """List the servers that may get new work; if too many are backed off, these are included."""
         excluded = set(avoided)
         able = [
             server
--- a/packages/core/src/vaneturn_core/traffic/directives.py
+++ b/packages/core/src/vaneturn_core/traffic/directives.py
@@ -1,4 +1,4 @@
-"""What a backend server asks of a node in the head of an answer."""
+"""Directives that a backend server sends to a node in the header of an answer."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerDirectives:
-    """What one answer says; absent fields say that the server does not ask for it."""
+    """The directives of one answer; a field without a value means that the server does not ask for it."""
 
-    rate_limit: float | None = None  # requests a second from all nodes together
-    is_rate_unreadable: bool = False  # a limit was named, but not as a number that can be kept
+    rate_limit: float | None = None  # requests per second from all nodes together
+    is_rate_unreadable: bool = False  # a limit was given, but not as a usable number
     rest: float | None = None  # seconds for which it wants no request from this node
     is_leaving: bool = False
-    faults: tuple[Fault, ...] = ()  # fields that could not be read
+    faults: tuple[Fault, ...] = ()  # fields that could not be parsed
 
 
 __all__ = ["ServerDirectives"]
--- a/packages/core/src/vaneturn_core/traffic/hearing.py
+++ b/packages/core/src/vaneturn_core/traffic/hearing.py
@@ -1,7 +1,7 @@
-"""Whether this VM hears others at all: a silence is held against a server only beside a prompt answer of another one.
+"""Detection of whether this VM can reach others: an unanswered probe counts only if another probe got a prompt answer.
 
-Behind a full link of its own, a node hears nobody for a while: in a quarter of a second 63 of 73 looks found all the
-servers silent that they had asked. Tokens still arrive then, in their turn; an answer to a later question does not.
+While the VM's own link is full, a node gets no answers: in a quarter of a second, 63 of 73 rounds of probes found all
+of their servers unresponsive. Queued tokens still arrive then, but the answer to a later probe does not.
 """
 
 from __future__ import annotations
@@ -9,19 +9,19 @@
 from collections.abc import Callable, Sequence
 from typing import Final
 
-PROMPT: Final = 0.02  # seconds from a question to its answer on a link that is free; sound servers answer in 2 to 4 ms
-SLOWEST_ANSWERS: Final = 4.0  # times as long as the slowest answer of the same look that the others may take
+PROMPT: Final = 0.02  # seconds for the answer to a probe on a free link; healthy servers answer in 2 to 4 ms
+SLOWEST_ANSWERS: Final = 4.0  # times the slowest answer of the same round that the other answers may take
 
 
 def compute_sign_time(asked: int, answers: Sequence[float]) -> float | None:
-    """Compute the seconds after which those who have not answered yet are silent; none while too few have answered.
+    """Compute the seconds after which servers without an answer are unresponsive; none while too few have answered.
 
-    Load pattern: a few servers of a chain go dark, and the others answer in 2 to 4 ms. Waiting 0.06 s for the dark ones
-    was a quarter of the pauses after a loss. An answer says that the way is free just then, better than those to older
-    questions do: a node asks seldom.
+    When a few servers of a chain stop responding, the others still answer in 2 to 4 ms. A fixed wait of 0.06 s made up
+    a quarter of the pause after a loss. An answer in the same round shows that the link is free at that moment, which
+    older answers do not, since a node probes rarely.
 
-    :param asked: servers that were asked together.
-    :param answers: seconds that the answers so far have taken.
+    :param asked: number of servers that were probed together.
+    :param answers: seconds that each answer so far has taken.
     """
     if 2 * len(answers) <= asked:
         return None
@@ -29,24 +29,24 @@
 
 
 def compute_answer_limit(slowest: float) -> float:
-    """Compute the seconds that an answer may take where others took so long at most."""
+    """Compute the seconds that an answer may take, from the slowest of the others."""
     return max(PROMPT, SLOWEST_ANSWERS * slowest)
 
 
 class Hearing:
-    """The newest question that was answered promptly."""
+    """Tracks the newest probe that was answered promptly."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._asked_at = float("-inf")
 
     def record_answer(self, asked_at: float) -> None:
-        """Take note of an answer that came now to a question asked then, by steady time."""
+        """Record an answer that arrives now, to a probe that was sent at a monotonic time."""
         if self._clock() - asked_at <= PROMPT:
             self._asked_at = max(self._asked_at, asked_at)
 
     def has_heard_since(self, at: float) -> bool:
-        """Tell whether a question asked then or later was answered promptly."""
+        """Tell whether a probe that was sent at that time or later was answered promptly."""
         return self._asked_at >= at
 
 
--- a/packages/core/src/vaneturn_core/traffic/servers.py
+++ b/packages/core/src/vaneturn_core/traffic/servers.py
@@ -1,4 +1,4 @@
-"""Backend servers: their names, starts, and entries in the list."""
+"""Backend servers: names, ids, and their entries in the list of servers."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 from vaneturn_core.identifiers import ServiceName
 from vaneturn_core.traffic.configuration import EngineProfile
 
-ServerName = NewType("ServerName", str)  # of a backend server; it may start again under it
-ServerId = NewType("ServerId", str)  # one start of a backend server: what is believed of it ends with that start
-ServerAddress = NewType("ServerAddress", str)  # IP number and port; may pass to another server later
+ServerName = NewType("ServerName", str)  # of a backend server; stays the same when it restarts
+ServerId = NewType("ServerId", str)  # of one start of a backend server; its status ends with that start
+ServerAddress = NewType("ServerAddress", str)  # IP address and port; another server may get it later
 
 
 def identify_start(name: ServerName, born: int | None) -> ServerId:
-    """Give the id of one start of a server."""
+    """Return the id of one start of a server."""
     return ServerId(name if born is None else f"{name}@{born}")
 
 
 class ServerLoad(NamedTuple):
     """Requests in progress on a server."""
 
-    leading: int  # that it is the first server of
+    leading: int  # whose first server it is
     reserved: float  # tokens times layers
 
 
 class ServerState(Enum):
-    """What a server says of itself."""
+    """The state that a server reports for itself."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -55,18 +55,18 @@
     hall: str
     state: ServerState
     slots: int
-    kind: str | None  # of its accelerator
-    layers: tuple[LayerRange, ...]  # ready for requests
-    software: str = ""  # version of what it runs
-    born: int | None = None  # Unix milliseconds of its start; none on platforms that do not tell it
+    kind: str | None  # of its accelerator; none for a plain service
+    layers: tuple[LayerRange, ...]  # loaded and ready for requests
+    software: str = ""  # version that it runs
+    born: int | None = None  # start time in Unix milliseconds; none on platforms that do not report it
 
     @property
     def can_lead(self) -> bool:
-        """Tell whether requests may be sent to it: to a plain service, or to a holder of the first layer."""
+        """Tell whether requests may be sent to it: it belongs to a plain service or holds the first layer."""
         return self.kind is None or any(layers.first == 0 for layers in self.layers)
 
     def compute_room(self, engine: EngineProfile) -> float:
-        """Compute the memory that its layers leave, in tokens times layers."""
+        """Compute the memory that is not used by its layers, in tokens times layers."""
         kind = engine.kinds.get(self.kind or "")
         if kind is None:
             return 0.0
