--- a/packages/core/src/vaneturn_core/traffic/contents.py
+++ b/packages/core/src/vaneturn_core/traffic/contents.py
@@ -1,4 +1,4 @@
-"""What a request asks for, apart from who carries it: the same on every node and with every try of a client."""
+"""Digests of what a request asks for: the same on every node and for every retry of a client."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 def digest_content(host: str, method: str, target: str, caller: str, body: bytes) -> Content:
-    """Digest a request by what stays when it comes again: the place it asks, its caller and its body.
+    """Digest the parts of a request that are the same in a retry: its target, its caller and its body.
 
-    :param caller: customer, or key where the customer is not known; empty for a request without any.
+    :param caller: customer, or key if the customer is not known; empty for a request without a key.
     """
     head = f"{host}\0{method}\0{target}\0{caller}\0".encode()
     digest = hashlib.blake2b(head + body, digest_size=CONTENT_BYTES).digest()
--- a/packages/core/src/vaneturn_core/traffic/crashes.py
+++ b/packages/core/src/vaneturn_core/traffic/crashes.py
@@ -1,8 +1,8 @@
-"""Which requests had just begun on servers when these ended: one that ends each server that runs it is found so.
+"""Detection of requests that crash the servers they run on.
 
-A server that ends takes all its requests along, and one of them may be the cause. Bystanders had been running there for
-a while, or end well elsewhere; the cause does neither. Nodes tell each other what they have seen, and join it as sets:
-the end of one start of a server, seen by many nodes, is one end.
+When a server crashes, any request that had just begun there may be the cause. Other requests had been running there for
+a while, or complete elsewhere; the cause does neither. Nodes exchange what they have seen and merge it as sets: a crash
+of one start of a server that many nodes have seen counts once.
 """
 
 from __future__ import annotations
@@ -17,24 +17,25 @@
 from vaneturn_core.traffic.contents import Content
 from vaneturn_core.traffic.servers import ServerId
 
-STARTING_TIME: Final = 1.0  # seconds from the first event of a run; what is still there then has not ended its server
-BARRING_WEIGHT: Final = 6  # two ends before the first event, or three in all
-SURE_WEIGHT: Final = 9  # three ends before the first event
-DOUBT_TIME: Final = 60.0  # seconds from the newest end for which a request is barred below that weight; a bystander on
-# both servers, as one of some 900 was on a fleet of three first servers, is tried again then
-KEPT_TIME: Final = 600.0  # seconds from an end for which it counts
-PENDING_TIME: Final = 8.0  # seconds; the entry of a server that ended is gone after three heartbeats
-MAX_ENDS: Final = 64  # newest ones; 8 servers end at once where a part of 50 does
-MAX_SUSPECTS: Final = 128  # of one end; 51 streams were on a server that took over those of two others
-KEPT_SOUND: Final = 1024  # contents that ended well, newest ones
+STARTING_TIME: Final = 1.0  # seconds after the first event; a request that runs for longer is not suspected of a crash
+BARRING_WEIGHT: Final = 6  # two crashes before the first event, or three crashes in all
+SURE_WEIGHT: Final = 9  # three crashes before the first event
+# seconds after the newest crash for which a request below SURE_WEIGHT is barred. It may run again then, since it may
+# have been on both servers by chance: in a fleet with three first servers, that was so for 1 of about 900 requests
+DOUBT_TIME: Final = 60.0
+KEPT_TIME: Final = 600.0  # seconds for which a crash counts
+PENDING_TIME: Final = 8.0  # seconds; the entry of a crashed server is removed after three missed heartbeats
+MAX_ENDS: Final = 64  # newest crashes that are kept; 8 servers crash together when part of a fleet of 50 does
+MAX_SUSPECTS: Final = 128  # per crash; a server that took over the streams of two others had 51
+KEPT_SOUND: Final = 1024  # newest requests that completed
 
 
 class Suspicion(IntEnum):
-    """What an end says of a request that was on the server; of two words the greater holds."""
+    """How a crash bears on a request that ran on the server; when nodes report different values, the largest counts."""
 
-    BEGUN = 1  # it had brought events, for less than the time above
-    UNHEARD = 2  # it had brought none
-    CLEARED = 3  # it has ended well since
+    BEGUN = 1  # the request had produced events, for less than STARTING_TIME
+    UNHEARD = 2  # the request had produced none
+    CLEARED = 3  # the request has completed since
 
 
 _WEIGHTS: Final = {Suspicion.BEGUN: 2, Suspicion.UNHEARD: 3, Suspicion.CLEARED: 0}
@@ -42,24 +43,24 @@
 
 @dataclass(slots=True)
 class ServerEnd:
-    """The end of one start of a server."""
+    """The crash of one start of a server, with the requests that may have caused it."""
 
-    at: float  # steady time
-    software: str  # that it ran
+    at: float  # monotonic time
+    software: str  # version that the server ran
     suspects: dict[Content, Suspicion] = field(default_factory=dict)
 
     def weigh(self, content: Content) -> int:
-        """Weigh what it says against a request; 0 for one that was not there, or is cleared."""
+        """Return the weight of this crash against a request; 0 if it was not on the server or is cleared."""
         return _WEIGHTS[self.suspects.get(content, Suspicion.CLEARED)]
 
     def join(self, other: ServerEnd) -> bool:
-        """Take over what another node has seen of the same end; false when it says nothing new."""
+        """Merge what another node has seen of the same crash; false when nothing was new."""
         self.at = min(self.at, other.at)
         news = [self.suspect(content, suspicion) for content, suspicion in other.suspects.items()]
         return any(news)
 
     def suspect(self, content: Content, suspicion: Suspicion) -> bool:
-        """Suspect a request, or clear it; false when it is known."""
+        """Record a suspicion against a request, or clear it; false when nothing changes."""
         known = self.suspects.get(content)
         if known is not None and known >= suspicion:
             return False
@@ -69,7 +70,7 @@
         return True
 
     def _make_room(self, suspicion: Suspicion) -> bool:
-        """Leave out a request that is suspected less; false when there is none."""
+        """Drop the request with the weakest suspicion; false when none is weaker than the given one."""
         least = min(self.suspects, key=lambda content: (self.suspects[content], content))
         if self.suspects[least] >= suspicion:
             return False
@@ -78,33 +79,33 @@
 
 
 class CrashBoard:
-    """The ends of servers that this node has seen or heard of, and the requests that may not run any more."""
+    """The crashes that this node has seen or other nodes reported, and the requests barred because of them."""
 
     def __init__(self, clock: Callable[[], float], list_software: Callable[[], Iterable[str]]) -> None:
-        """Begin with nothing known.
+        """Create an empty board.
 
-        :param list_software: gives the software of the servers that are listed now.
+        :param list_software: returns the software versions of the servers that are listed now.
         """
         self._clock = clock
         self._list_software = list_software
         self._ends: dict[ServerId, ServerEnd] = {}
-        self._pending: dict[ServerId, ServerEnd] = {}  # lost, but not shown to have ended
-        self._sound: OrderedDict[tuple[Content, str], float] = OrderedDict()  # when they last ran well on a software
-        self._check: int | None = None  # computed anew when it is asked for
-        self.listeners: list[Callable[[], None]] = []  # called when something new is known
+        self._pending: dict[ServerId, ServerEnd] = {}  # connections were lost, but a crash is not confirmed
+        self._sound: OrderedDict[tuple[Content, str], float] = OrderedDict()  # when they last completed on a version
+        self._check: int | None = None  # computed on demand
+        self.listeners: list[Callable[[], None]] = []  # called after each change
 
     @property
     def check(self) -> int:
-        """Give a checksum of what is known; two nodes that know the same have the same."""
+        """Return a checksum of the known crashes; nodes that know the same crashes have the same checksum."""
         if self._check is None:
             rows = sorted((server, *row) for server, end in self._ends.items() for row in end.suspects.items())
             self._check = zlib.crc32(repr(rows).encode())
         return self._check
 
     def is_barred(self, content: Content) -> bool:
-        """Tell whether a request may not run any more.
+        """Tell whether a request is barred from running.
 
-        One that ended servers of a software that is gone may run once more on the new one.
+        If all the versions that it crashed are out of use, it may run once more; a crash of a newer one bars it again.
         """
         ends = [end for end in self._ends.values() if end.weigh(content)]
         weight = sum(end.weigh(content) for end in ends)
@@ -116,16 +117,16 @@
         return any(end.software in running for end in ends)
 
     def list_ends_under(self, content: Content) -> list[ServerId]:
-        """List the servers that ended while a request had just begun there, and that has not ended well since."""
+        """List the servers whose crash a request may have caused."""
         return [server for server, end in self._ends.items() if end.weigh(content)]
 
     def list_suspects(self, server: ServerId) -> list[Content]:
-        """List the requests that may have ended a server."""
+        """List the requests that may have caused the crash of a server."""
         end = self._ends.get(server)
         return [content for content in end.suspects if end.weigh(content)] if end is not None else []
 
     def note_lost(self, server: ServerId, software: str, content: Content, suspicion: Suspicion) -> None:
-        """Take note that the connection of a request was lost; whether the server has ended is not known yet."""
+        """Record that the connection of a request was lost, before it is known whether the server has crashed."""
         if self._is_sound(content, software):
             return
         end = self._ends.get(server)
@@ -137,20 +138,20 @@
         self._pending.setdefault(server, ServerEnd(now, software)).suspect(content, suspicion)
 
     def confirm(self, server: ServerId) -> bool:
-        """Take note that a server has ended; false when no request is known to have been lost there."""
+        """Record that a server has crashed; false when no request lost there is pending."""
         end = self._pending.pop(server, None)
         return end is not None and self.join({server: end})
 
     def confirm_absent(self, present: Iterable[ServerId]) -> list[ServerId]:
-        """Take note of the servers that are listed; gives those that were lost and are gone now."""
+        """Confirm the crash of each server with lost requests that is not listed any more; return these servers."""
         gone = self._pending.keys() - set(present)
         return [server for server in gone if self.confirm(server)]
 
     def note_sound(self, content: Content, software: str) -> bool:
-        """Take note that a request has run well on a software; true when it was suspected.
+        """Record that a request has completed on a software version; true when this clears it of a suspicion.
 
-        It ends no server of that software then, whatever copies of it were on servers that ended before or end later:
-        copies of a popular request are on all servers, and were on both that a deadly one ended within 0.2 s.
+        It is then cleared of all crashes of that version, earlier and later. Copies of a popular request run on all
+        servers, and may be on both servers that another request crashes, as happened within 0.2 s.
         """
         key = content, software
         self._sound[key] = self._clock()
@@ -163,7 +164,7 @@
         return any(cleared)
 
     def join(self, ends: Mapping[ServerId, ServerEnd]) -> bool:
-        """Take over ends; false when they say nothing new."""
+        """Merge crashes that were confirmed here or by another node; false when nothing was new."""
         oldest = self._clock() - KEPT_TIME
         is_new = False
         for server, end in ends.items():
@@ -181,7 +182,7 @@
         return is_new
 
     def list_ends(self) -> dict[ServerId, ServerEnd]:
-        """List what is known, for other nodes."""
+        """Return the known crashes, for other nodes."""
         self._forget(self._clock() - KEPT_TIME)
         return dict(self._ends)
 
--- a/packages/core/src/vaneturn_core/traffic/loads.py
+++ b/packages/core/src/vaneturn_core/traffic/loads.py
@@ -1,4 +1,4 @@
-"""What all nodes have in progress on each server: each tells a relay, relays tell each other, and pass the sum on."""
+"""Loads of all nodes on each server: nodes report theirs to a relay, and relays exchange sums and pass them on."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from vaneturn_core.identifiers import VmId
 from vaneturn_core.traffic.servers import ServerId, ServerLoad
 
-SUM_AGE: Final = 0.1  # seconds for which a sum serves: a relay hears 50 words a second, each sum takes about 1 ms
-LOAD_AGE: Final = 3.0  # seconds for which the word of a node counts; nodes tell their load about once a second
+SUM_AGE: Final = 0.1  # seconds for which a sum is reused: a relay gets 50 reports per second, a sum takes about 1 ms
+LOAD_AGE: Final = 3.0  # seconds for which a report counts; nodes report their load about once per second
 
 
 Loads = Mapping[ServerId, ServerLoad]
 
 
 class LoadBoard:
-    """What other nodes told of their loads."""
+    """The loads that other nodes reported."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
@@ -26,20 +26,20 @@
         self._others: Loads = {}  # the sum over the other nodes
         self._others_until = float("-inf")
         self._summed_at = float("-inf")
-        self._is_changed = False  # a word came after the newest sum over the other nodes
+        self._is_changed = False  # a report arrived since the last sum
 
     def take_follower(self, vm: VmId, loads: Loads) -> None:
-        """Take the load of a node that asks this one."""
+        """Record the load of a follower, a node that gets its changes from this relay."""
         self._followers[vm] = (self._clock(), loads)
         self._note_word()
 
     def take_relay(self, vm: VmId, loads: Loads) -> None:
-        """Take the load of a relay and of the nodes that ask it."""
+        """Record the load of another relay and of its followers."""
         self._relays[vm] = (self._clock(), loads)
         self._note_word()
 
     def take_total(self, total: Loads, told: Loads) -> None:
-        """Take the load of all nodes from a relay, which counts what this node had told it."""
+        """Record the load of all nodes as given by a relay, less what this node had reported to it."""
         self._followers.clear()
         self._relays.clear()
         self._others = {server: _subtract(load, told.get(server)) for server, load in total.items()}
@@ -47,7 +47,7 @@
         self._is_changed = False
 
     def sum_followers(self, own: Loads) -> Loads:
-        """Sum the load of this node and of those that ask it."""
+        """Sum the load of this node and of its followers."""
         return _sum([own, *self._list_fresh(self._followers)])
 
     def sum_all(self, own: Loads) -> Loads:
@@ -55,7 +55,7 @@
         return _sum([own, *self._list_fresh(self._followers), *self._list_fresh(self._relays)])
 
     def find_others(self, server: ServerId) -> ServerLoad | None:
-        """Find what the other nodes have in progress on a server; none when nothing was told lately."""
+        """Return the load of the other nodes on a server; none without a recent report."""
         now = self._clock()
         if now > self._others_until:
             return None
--- a/packages/core/src/vaneturn_core/traffic/losses.py
+++ b/packages/core/src/vaneturn_core/traffic/losses.py
@@ -1,8 +1,8 @@
-"""Servers that other nodes have found lost, so that a loss is found once and not by each node for itself.
+"""Servers that other nodes have found lost, so that not every node has to find each loss by itself.
 
-Load pattern: a part of the servers goes dark at once. The list shows it after three heartbeats; until then each of
-hundreds of nodes finds each lost server by a request of its own that fails there, and the budget of second sends is
-used up. One node alone is not believed, since it may be cut off itself: two must have found the same.
+When many servers stop responding at once, the list shows it only after three heartbeats. Until then, each of hundreds
+of nodes would find each lost server by a failed request of its own, which uses up the retry budget. The report of a
+single node is not enough, since that node may be cut off itself: a loss counts when two nodes have found it.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from vaneturn_core.identifiers import VmId
 from vaneturn_core.traffic.servers import ServerId
 
-WORD_AGE: Final = 2.0  # seconds for which the word of a node counts; it tells again when it finds more
+WORD_AGE: Final = 2.0  # seconds for which the report of a node counts; it reports again when it finds more
 
 
 class Finding(NamedTuple):
-    """Until when nodes leave a server alone after failures there of their own, as steady times."""
+    """The latest ends of the backoffs that nodes apply to a server after failures of their own, as monotonic times."""
 
     latest: float
-    second: float = float("-inf")  # of another node
+    second: float = float("-inf")  # second latest, of another node
 
     def join(self, other: Finding) -> Finding:
-        """Join the findings of different nodes."""
+        """Merge the findings of different nodes."""
         latest, second = sorted((*self, *other))[:-3:-1]
         return Finding(latest, second)
 
@@ -33,28 +33,28 @@
 
 
 class LossBoard:
-    """What other nodes have found."""
+    """The findings that other nodes reported."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._followers: dict[VmId, tuple[float, Findings]] = {}
         self._relays: dict[VmId, tuple[float, Findings]] = {}
-        self.version = 0  # rises with each word that confirms a loss
+        self.version = 0  # rises with each report that changes the confirmed losses
 
     def take_follower(self, vm: VmId, findings: Findings, own: Findings) -> None:
-        """Take what a node that asks this one has found."""
+        """Record the findings of a follower."""
         self._take(self._followers, vm, findings, own)
 
     def take_relay(self, vm: VmId, findings: Findings, own: Findings) -> None:
-        """Take what a relay and the nodes that ask it have found."""
+        """Record the findings of another relay and its followers."""
         self._take(self._relays, vm, findings, own)
 
     def join_followers(self, own: Findings) -> dict[ServerId, Finding]:
-        """Join what this node and those that ask it have found."""
+        """Merge the findings of this node and its followers."""
         return _join([own, *self._list_fresh(self._followers)])
 
     def list_confirmed(self, own: Findings) -> dict[ServerId, float]:
-        """List the servers that two nodes have found lost, each with the time until which both leave it alone."""
+        """List the servers that two nodes have found lost, each with the time until which both back off."""
         now = self._clock()
         joined = _join([own, *self._list_fresh(self._followers), *self._list_fresh(self._relays)])
         return {server: finding.second for server, finding in joined.items() if finding.second > now}
