--- a/packages/core/src/vaneturn_core/traffic/arrivals.py
+++ b/packages/core/src/vaneturn_core/traffic/arrivals.py
@@ -1,4 +1,4 @@
-"""How many requests a second come to a node, those that it turns away included."""
+"""The rate of requests that arrive at a node, refused ones included."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Final
 
-WINDOW: Final = 10.0  # seconds; a node of a large fleet gets about one request in each
+WINDOW: Final = 10.0  # seconds; long, since a node of a large fleet gets only about one request in that time
 
 
 class ArrivalRate:
@@ -17,11 +17,11 @@
         self._times: deque[float] = deque()
 
     def record(self) -> None:
-        """Count a request."""
+        """Record a request."""
         self._times.append(self._clock())
 
     def compute(self) -> float:
-        """Compute the requests a second."""
+        """Compute the requests per second."""
         oldest = self._clock() - WINDOW
         while self._times and self._times[0] < oldest:
             self._times.popleft()
--- a/packages/core/src/vaneturn_core/traffic/ratelimits.py
+++ b/packages/core/src/vaneturn_core/traffic/ratelimits.py
@@ -1,8 +1,8 @@
-"""Rate limits that servers name for all nodes together, and the permits by which nodes keep to them.
+"""Rate limits that servers set for all nodes together, and the permits with which nodes comply.
 
-For each limited server one node issues the permits, and a second one stands in for it at a small share of the rate.
-Both follow from the names of the registered nodes, so nobody has to be elected, and as the shares add up to less than
-the excess that a server bears, it does not matter whether two nodes issue at once.
+For each limited server, one node issues the permits, and a second one acts as a substitute with a small share of the
+rate. Both are derived from the names of the registered nodes, so no election is needed. The two shares together stay
+within the excess that a server tolerates, so both nodes may issue permits at the same time.
 """
 
 from __future__ import annotations
@@ -17,51 +17,52 @@
 from vaneturn_core.traffic.relays import hash_text
 from vaneturn_core.traffic.servers import ServerId
 
-BURST: Final = 2  # permits at once after a time without any
-WHOLE: Final = 1.0
-STAND_IN_SHARE: Final = 0.2  # of the rate, for a node that is not known to be the only first one
-SETTLE_TIME: Final = 4.0  # seconds until all nodes know of a node that came or left, and have used their last permits
+BURST: Final = 2  # permits that may be issued at once after an idle time
+WHOLE: Final = 1.0  # share of the rate of a node that is certainly the only first issuer
+STAND_IN_SHARE: Final = 0.2  # of the rate, for any other issuer
+SETTLE_TIME: Final = 4.0  # seconds until all nodes know of a node that joined or left, and have used their last permits
 ISSUERS: Final = 2  # nodes that issue permits for a server
-MAX_RANKED: Final = 1024  # servers and sets of nodes whose issuers are remembered
-NEWS_TIME: Final = 5.0  # seconds for which nodes tell others of a change; permits carry it to those that missed it
-MAX_NEWS: Final = 64  # limits in a word between nodes
-ASK_ANOTHER: Final = 0.5  # seconds after which a node asks again that asked one that does not issue
+MAX_RANKED: Final = 1024  # size of the cache of issuers, by server and set of nodes
+NEWS_TIME: Final = 5.0  # seconds for which nodes report a change; nodes that miss it learn of it with a permit
+MAX_NEWS: Final = 64  # limits in a message between nodes
+ASK_ANOTHER: Final = 0.5  # seconds until a node that asked a node which is no issuer asks again
 
 
 @dataclass(frozen=True, slots=True)
 class RateLimit:
-    """The newest word on a server's limit."""
+    """The newest known limit of a server."""
 
-    rate: float | None  # requests a second; none when the server has ended its limit
-    at: float  # steady time of that word
-    since: float  # steady time of the first word that named the same rate
+    rate: float | None  # requests per second; none when the server has lifted its limit
+    at: float  # monotonic time of the answer that set it
+    since: float  # monotonic time at which this rate was first known
 
 
 class RateLimits:
-    """The limits that servers have named, as this node knows them."""
+    """The limits of all servers, as this node knows them."""
 
     def __init__(self) -> None:
         self._limits: dict[ServerId, RateLimit] = {}
 
     def find(self, server: ServerId) -> RateLimit | None:
-        """Find the word on a server; none when it never named a limit."""
+        """Return the newest limit of a server; none when it never set one."""
         return self._limits.get(server)
 
     def list_limited(self) -> dict[ServerId, float]:
-        """List the servers that limit requests now."""
+        """List the servers that currently have a limit, with their rates."""
         return {server: limit.rate for server, limit in self._limits.items() if limit.rate is not None}
 
     def list_news(self, now: float) -> dict[ServerId, RateLimit]:
-        """List the limits that have changed lately, the newest first, for other nodes."""
+        """List the recently changed limits for other nodes, the newest first."""
         news = [(server, limit) for server, limit in self._limits.items() if limit.since > now - NEWS_TIME]
         return dict(sorted(news, key=lambda item: item[1].since, reverse=True)[:MAX_NEWS])
 
     def note_answer(self, server: ServerId, rate: float | None, sent_at: float, now: float) -> None:
-        """Take what an answer says.
+        """Record the limit in an answer, or its absence.
 
-        Answers overtake each other: only one to a request that was sent after the newest word can raise or end a limit.
+        Answers may arrive out of order, so only the answer to a request that was sent after the last update can raise
+        or lift a limit; any answer can lower it.
 
-        :param sent_at: steady time at which the request of the answer was sent.
+        :param sent_at: monotonic time at which the request of the answer was sent.
         """
         known = self._limits.get(server)
         if known is None:
@@ -73,9 +74,9 @@
             self._limits[server] = RateLimit(rate, now, known.since if rate == known.rate else now)
 
     def take_told(self, server: ServerId, rate: float | None, at: float, now: float) -> RateLimit:
-        """Take what another node knows; gives the newer word.
+        """Record a limit that another node reported, unless this node knows a newer one; return the newer one.
 
-        :param at: steady time of that word.
+        :param at: monotonic time of the answer that set the limit.
         """
         known = self._limits.get(server)
         if known is not None and known.at >= at:
@@ -91,20 +92,20 @@
 
 
 class NodeHistory:
-    """Which nodes were registered over the last seconds."""
+    """The sets of nodes that were registered during the last SETTLE_TIME seconds."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._known: deque[tuple[float, frozenset[VmId]]] = deque([(clock(), frozenset())])  # and from when
+        self._known: deque[tuple[float, frozenset[VmId]]] = deque([(clock(), frozenset())])  # with start times
 
     def note(self, nodes: Iterable[VmId]) -> None:
-        """Take the nodes that are registered now."""
+        """Record the nodes that are registered now."""
         current = frozenset(nodes)
         if current != self._known[-1][1]:
             self._known.append((self._clock(), current))
 
     def list_recent(self) -> list[frozenset[VmId]]:
-        """List all sets of nodes that were registered at some time in these seconds."""
+        """List all sets of nodes that were registered at some point in this time."""
         oldest = self._clock() - SETTLE_TIME
         while len(self._known) > 1 and self._known[1][0] <= oldest:
             self._known.popleft()
@@ -112,19 +113,19 @@
 
 
 class PermitIssuer:
-    """Issues the permits of this node, at an even pace for each server."""
+    """Issues permits for this node's share of each rate limit, evenly spaced."""
 
     def __init__(self, vm: VmId, history: NodeHistory, clock: Callable[[], float]) -> None:
         self._vm = vm
         self._history = history
         self._clock = clock
         self._next_at: dict[ServerId, float] = {}
-        self._refused: Counter[ServerId] = Counter()  # questions since the newest permit
+        self._refused: Counter[ServerId] = Counter()  # refused questions since the last permit
 
     def issue(self, server: ServerId, rate: float) -> float:
         """Issue a permit for one request to a server.
 
-        :return: 0, or the seconds until there may be one.
+        :return: 0 if the permit is issued, else the seconds until one may be available.
         """
         share = self._find_share(server)
         if not share:
@@ -133,7 +134,7 @@
         saved = (BURST - 1) * interval if share == WHOLE else 0.0
         next_at = max(self._next_at.get(server, now), now - saved)
         if next_at > now:
-            wait = next_at - now + self._refused[server] * interval  # they return one after the other
+            wait = next_at - now + self._refused[server] * interval  # spreads the nodes that ask again
             self._refused[server] += 1
             return wait
         self._refused[server] = 0
@@ -147,7 +148,7 @@
             del self._refused[server]
 
     def _find_share(self, server: ServerId) -> float:
-        """Find the share of the rate that this node issues; the whole of it only when no other node may do so."""
+        """Return this node's share of the rate; all of it only when no other node may issue at the full rate."""
         ranks = [rank_issuers(server, nodes) for nodes in self._history.list_recent()]
         if self._vm not in ranks[-1]:
             return 0.0
@@ -156,7 +157,7 @@
 
 @lru_cache(maxsize=MAX_RANKED)
 def rank_issuers(server: ServerId, nodes: frozenset[VmId]) -> tuple[VmId, ...]:
-    """Rank the nodes that issue permits for a server: the next one is asked where the one before does not answer."""
+    """Rank the nodes that issue permits for a server; a node asks the next one if the one before does not answer."""
     return tuple(sorted(nodes, key=lambda node: (hash_text(f"{server} {node}"), node))[:ISSUERS])
 
 
--- a/packages/core/src/vaneturn_core/traffic/relays.py
+++ b/packages/core/src/vaneturn_core/traffic/relays.py
@@ -1,4 +1,4 @@
-"""Which nodes ask the store for changes, and in what order the others ask those nodes."""
+"""Selection of the relays, the nodes that get changes from the store, and the order in which other nodes ask them."""
 
 from __future__ import annotations
 
@@ -9,35 +9,36 @@
 
 from vaneturn_core.identifiers import VmId
 
-DIRECT_NODES: Final = 3  # up to so many nodes, all ask the store: a relay would save next to nothing
-NODES_EACH: Final = 48  # that share a relay: each of them asks 1 to 5 times a second, half a millisecond of the relay's
-# processor time and 2 KB at 190 servers; with 16, 195 nodes ask the store with 13 watches in place of 5
-MIN_RELAYS: Final = 2  # so that the loss of one leaves another
+DIRECT_NODES: Final = 3  # up to this number of nodes, all ask the store, since a relay would save next to nothing
+# nodes per relay. Each of them asks 1 to 5 times per second, which takes half a millisecond of the relay's processor
+# time and 2 KB with 190 servers. With 16 in place of 48, 195 nodes keep 13 watches on the store in place of 5
+NODES_EACH: Final = 48
+MIN_RELAYS: Final = 2  # so that one is left when the other is lost
 
-WATCH_SHARE: Final = 0.4  # of the shortest bound: a relay hears of the store in that time
-MAX_RELAY_WATCH: Final = 1.0  # seconds; keys are closed a few seconds after the last word of the store
-GATHER_SHARE: Final = 0.05  # of the shortest bound, from an answer to the next question: many changes come in one
-HOLD_MARGIN: Final = 0.05  # of the shortest bound, for the way to the store and back
-ARRIVING_MARGIN: Final = 0.05  # of the shortest bound, for the way back to the node that asked
-ANSWER_MARGIN: Final = 0.15  # of the shortest bound, for the way to a relay and back on a crowded link
+WATCH_SHARE: Final = 0.4  # of the shortest bound: longest time of a relay without an answer of the store
+MAX_RELAY_WATCH: Final = 1.0  # seconds; keys are closed a few seconds after the last answer of the store
+GATHER_SHARE: Final = 0.05  # of the shortest bound, between an answer and the next question, to batch changes
+HOLD_MARGIN: Final = 0.05  # of the shortest bound, for the round trip to the store
+ARRIVING_MARGIN: Final = 0.05  # of the shortest bound, for the transfer to the node that asked
+ANSWER_MARGIN: Final = 0.15  # of the shortest bound, for the round trip to a relay on a congested link
 
 
 @dataclass(frozen=True, slots=True)
 class RelayTimes:
-    """How long nodes wait for a relay: one that is lost is left after at most two thirds of the shortest bound."""
+    """Timeouts of relays in seconds; a node leaves a lost relay after at most two thirds of the shortest bound."""
 
-    gather: float  # seconds between an answer with changes and the next question
-    watch: float  # seconds that a relay's question to the store waits
-    hold: float  # seconds that a relay holds a question without any word of the store; then it is out of touch
+    gather: float  # between an answer with changes and the next question
+    watch: float  # for which a relay's question waits at the store
+    hold: float  # for which a relay holds a question without any answer of the store; then it is out of touch
     hold_arriving: float  # the same while an answer of the store is arriving: 0.4 MB take 0.3 to 0.5 s
-    ask: float  # seconds that a node waits for a relay's answer, and age of the word from which it counts for nothing
-    bound: float  # seconds that they come from: from a change in the store to the last request that may not know of it
+    ask: float  # for which a node waits for a relay's answer; information of this age is not used
+    bound: float  # the shortest bound, from which the others are derived
 
     @classmethod
     def derive(cls, shortest_bound: float) -> RelayTimes:
-        """Derive the times.
+        """Derive the timeouts.
 
-        :param shortest_bound: seconds from a change in the store to the last request that may not know of it.
+        :param shortest_bound: seconds from a change in the store to the last request that may ignore it.
         """
         watch = min(WATCH_SHARE * shortest_bound, MAX_RELAY_WATCH)
         hold = watch + HOLD_MARGIN * shortest_bound
@@ -47,14 +48,14 @@
 
 
 def count_relays(nodes: int) -> int:
-    """Count the relays among so many nodes."""
+    """Return the number of relays for a number of nodes."""
     if nodes <= DIRECT_NODES:
         return nodes
     return max(MIN_RELAYS, -(-nodes // NODES_EACH))
 
 
 def list_relays(nodes: Collection[VmId]) -> list[VmId]:
-    """List the relays; every node that knows the same nodes finds the same ones."""
+    """List the relays; nodes that know the same set of nodes get the same list."""
     return _order(nodes)[: count_relays(len(nodes))]
 
 
@@ -63,10 +64,10 @@
 
 
 def rank_relays(own: VmId, nodes: Collection[VmId], left: Collection[VmId] = ()) -> list[VmId]:
-    """Rank the relays that a node asks one after the other; none for a relay.
+    """Rank the relays in the order in which a node asks them; empty for a relay.
 
-    The next nodes of the order stand in for relays that were left: of 64 nodes whose two relays the store turned away,
-    each of the other 62 watched the store for itself until they were back.
+    The next nodes in the order replace relays that were left. Without this, when the store refused both relays of 64
+    nodes, each of the other 62 watched the store itself until the relays were back.
 
     :param left: relays that are not asked for a while.
     """
@@ -76,7 +77,7 @@
 
 
 def rank_candidate(own: VmId, nodes: Collection[VmId]) -> int | None:
-    """Rank a node among those that may take the tenure: relays first, all others together after them.
+    """Rank a node among the candidates for the tenure: relays first, then all other nodes with the same rank.
 
     :return: none for a node that is not listed yet.
     """
@@ -87,7 +88,7 @@
 
 
 def hash_text(text: str) -> bytes:
-    """Hash a text, the same on every node: who ranks by it agrees with all who rank the same texts."""
+    """Hash a text; the hash is the same on every node, so that all nodes rank the same texts in the same order."""
     return hashlib.blake2b(text.encode(), digest_size=8).digest()
 
 
--- a/packages/core/src/vaneturn_core/traffic/retries.py
+++ b/packages/core/src/vaneturn_core/traffic/retries.py
@@ -1,4 +1,4 @@
-"""The part of the shared retry budget that one node may spend."""
+"""The part of the shared retry budget that this node may spend."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from collections.abc import Callable
 from typing import Final
 
-KEPT_SHARE: Final = 0.85  # of the budget is spent: nodes see unequal traffic and count each other with a delay
+KEPT_SHARE: Final = 0.85  # of the budget is used at most: traffic is uneven, and nodes count each other with a delay
 
 
 class WindowedRetryBudget:
-    """Counts, in a sliding window, the first sends to a service and those after them."""
+    """Counts the first sends to a service and the retries, in a sliding window."""
 
     def __init__(
         self, ratio: float, slack: float, window: float, count_nodes: Callable[[], int], clock: Callable[[], float]
     ) -> None:
-        """Prepare the budget of one service.
+        """Create the budget of one service.
 
-        :param ratio: second sends for each first one, over all nodes.
-        :param slack: second sends in a window beyond the ratio, over all nodes.
-        :param window: seconds.
+        :param ratio: retries allowed per first send, over all nodes.
+        :param slack: retries allowed per window beyond the ratio, over all nodes.
+        :param window: length of the window in seconds.
         """
         self._ratio = ratio
         self._slack = slack
@@ -30,12 +30,12 @@
         self._seconds: deque[float] = deque()
 
     def record_first(self) -> None:
-        """Count the first send of a request."""
+        """Record the first send of a request."""
         self._firsts.append(self._clock())
         self._forget()
 
     def spend(self) -> bool:
-        """Take a second send from the budget; false when this node has used up its part."""
+        """Spend one retry; false when this node has used up its part of the budget."""
         self._forget()
         if len(self._seconds) + 1 > self.compute_limit():
             return False
@@ -43,13 +43,13 @@
         return True
 
     def take_back(self, *, is_first: bool) -> None:
-        """Take back the newest send, which was not made after all."""
+        """Remove the newest send, because it was not made after all."""
         times = self._firsts if is_first else self._seconds
         if times:
             times.pop()
 
     def compute_limit(self) -> float:
-        """Compute how many second sends this node may make in the window."""
+        """Compute how many retries this node may make in the window."""
         return KEPT_SHARE * (self._ratio * len(self._firsts) + self._slack / max(1, self._count_nodes()))
 
     def _forget(self) -> None:
--- a/packages/core/src/vaneturn_core/traffic/view.py
+++ b/packages/core/src/vaneturn_core/traffic/view.py
@@ -1,4 +1,4 @@
-"""What a node believes of the platform, with the age of each belief."""
+"""The view that a node has of the platform, and the age of this information."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from vaneturn_core.traffic.configuration import TrafficConfiguration
 from vaneturn_core.traffic.servers import BackendServer, ServerId, ServerName
 
-KEYS_MARGIN: Final = 0.8  # seconds; a watch may hear nothing for a second before the store says so, and then does
-LAPSE_HOLD: Final = 2.2  # seconds after the store's return in which servers write their entries again
-RETURN_TIME: Final = 0.5  # seconds after the store's return in which its answers tell what lapsed before
-SAME_TROUBLE: Final = 3.0  # seconds between the newest failures of two nodes in one outage; a lost call takes 2 s
-MAX_TOLD_AGE: Final = 1e9  # seconds; told by a node that has heard nothing yet
-READY_AGE: Final = 2.5  # seconds; a node that hears nothing for longer leaves its clients to other nodes
+KEYS_MARGIN: Final = 0.8  # seconds; without changes, a watch may be silent for a second until the store confirms that
+LAPSE_HOLD: Final = 2.2  # seconds after the end of an outage in which servers write their entries again
+RETURN_TIME: Final = 0.5  # seconds after the end of an outage in which the store still reports entries lapsed in it
+SAME_TROUBLE: Final = 3.0  # seconds; most between the last failures of two nodes in one outage: a lost call takes 2 s
+MAX_TOLD_AGE: Final = 1e9  # seconds; shown by a node that has not heard from the store yet
+READY_AGE: Final = 2.5  # seconds; a node that has not heard from the store for longer is not ready for new clients
 
 
 @dataclass(frozen=True, slots=True)
 class StoreContact:
-    """When the store was last heard of, as steady times."""
+    """When the store last answered or failed, as monotonic times."""
 
-    confirmed_at: float = float("-inf")  # everything believed was true then or later
+    confirmed_at: float = float("-inf")  # the whole view was true then or later
     failed_at: float = float("-inf")
-    returned_at: float = float("-inf")  # answered again after a failure
+    returned_at: float = float("-inf")  # first answer after a failure
 
     @property
     def is_in_trouble(self) -> bool:
-        """Tell whether it has not answered since it failed."""
+        """Tell whether the store has not answered since it last failed."""
         return self.failed_at > self.returned_at
 
     def shares_trouble(self, other: StoreContact) -> bool:
@@ -39,39 +39,39 @@
 
 
 class PlatformView:
-    """The configuration, the servers and the nodes as last heard from the store."""
+    """The configuration, the servers and the nodes as last read from the store."""
 
     def __init__(self, keys_valid: float, clock: Callable[[], float]) -> None:
-        """Begin with nothing known.
+        """Create an empty view.
 
-        :param keys_valid: seconds from the removal of a key to its last request.
+        :param keys_valid: seconds from the removal of a key to the last request accepted with it.
         """
         self._keys_valid = keys_valid - KEYS_MARGIN
         self._clock = clock
         self.configuration: TrafficConfiguration | None = None
         self.servers: dict[ServerId, BackendServer] = {}
-        self.nodes: dict[VmId, str | None] = {}  # and the address where a node tells others of changes
-        self.has_servers = False  # the list was read once
+        self.nodes: dict[VmId, str | None] = {}  # with the address where a node serves changes to others
+        self.has_servers = False  # the list was read at least once
         self.contact = StoreContact()
-        self._starts: dict[ServerName, ServerId] = {}  # the start that is listed under each name
-        self._lapsed: dict[ServerId, float] = {}  # entries that went in trouble, and when they are given up
+        self._starts: dict[ServerName, ServerId] = {}  # the listed start of each server
+        self._lapsed: dict[ServerId, float] = {}  # entries removed in an outage, and when to drop them
 
     @property
     def age(self) -> float:
-        """Give the seconds since the store confirmed what is believed."""
+        """Return the seconds since the store confirmed the view."""
         return self._clock() - self.contact.confirmed_at
 
     @property
     def told_age(self) -> float:
-        """Give the age for logs and operators, which take no infinite number."""
+        """Return the age for logs and operators, which need a finite number."""
         return min(self.age, MAX_TOLD_AGE)
 
     def are_keys_valid(self) -> bool:
-        """Tell whether the keys are known well enough to run requests with them."""
+        """Tell whether the known keys are recent enough to accept requests with them."""
         return self.age < self._keys_valid
 
     def is_ready(self) -> bool:
-        """Tell whether new clients should come to this node."""
+        """Tell whether this node should get new clients."""
         return self.has_servers and self.configuration is not None and self.age < min(READY_AGE, self._keys_valid)
 
     def count_nodes(self) -> int:
@@ -79,41 +79,41 @@
         return max(1, len(self.nodes))
 
     def confirm(self, at: float) -> None:
-        """Take note that the store has answered, and that everything believed was true at a time or later."""
+        """Record that the store has answered, and that the whole view was true at a time or later."""
         returned_at = self._clock() if self.contact.is_in_trouble else self.contact.returned_at
         confirmed_at = max(self.contact.confirmed_at, at)
         self.contact = StoreContact(confirmed_at, self.contact.failed_at, returned_at)
 
     def note_failure(self) -> None:
-        """Take note that a call on the store failed."""
+        """Record that a call to the store failed."""
         self.contact = dataclasses.replace(self.contact, failed_at=self._clock())
 
     def adopt_contact(self, contact: StoreContact) -> None:
-        """Take over when another node has heard of the store.
+        """Merge the contact that another node has had with the store.
 
-        Troubles of one node alone say nothing of the store: the node may be cut off by itself, and the entry of a
-        server that leaves meanwhile has not lapsed. Only what neither node could reach was in trouble.
+        A failure that only one node sees is no outage of the store: that node may be cut off itself, and then the entry
+        of a server that leaves has not lapsed. Only a failure that both nodes see counts as an outage.
         """
         confirmed_at = max(self.contact.confirmed_at, contact.confirmed_at)
         if not self.contact.shares_trouble(contact):
             self.contact = StoreContact(confirmed_at)
             return
-        # the last call of an outage may end here after that of the other node, which has reached the store since
+        # this node's last failed call may end after the other node has reached the store again
         is_over = self.contact.is_in_trouble and not contact.is_in_trouble
         returned_at = self._clock() if is_over else max(self.contact.returned_at, contact.returned_at)
         self.contact = StoreContact(confirmed_at, self.contact.failed_at, returned_at)
 
     def take_configuration(self, configuration: TrafficConfiguration) -> bool:
-        """Put a configuration in force; false for one that is not newer."""
+        """Put a configuration in force; false if it is not newer than the current one."""
         if self.configuration is not None and configuration.version <= self.configuration.version:
             return False
         self.configuration = configuration
         return True
 
     def put_server(self, server: BackendServer) -> bool:
-        """Take a server's entry; false for that of an older start than the one known.
+        """Store a server's entry; false if it belongs to an older start than the known one.
 
-        A new start takes the place of the one before, which is gone with all that it held.
+        A new start replaces the previous one, which has ended and lost all that it held.
         """
         known = self.find_server(server.name)
         if known is not None and known.id != server.id:
@@ -126,19 +126,19 @@
         return True
 
     def find_server(self, name: ServerName) -> BackendServer | None:
-        """Find the start of a server that is listed, or whose entry has lapsed."""
+        """Find the known start of a server, listed or lapsed."""
         start = self._starts.get(name)
         return self.servers.get(start) if start is not None else None
 
     def drop_server(self, server: ServerId) -> None:
-        """Remove a server at once, whatever became of the store."""
+        """Remove a server immediately, regardless of the contact with the store."""
         self._lapsed.pop(server, None)
         known = self.servers.pop(server, None)
         if known is not None and self._starts.get(known.name) == server:
             del self._starts[known.name]
 
     def remove_server(self, server: ServerId) -> bool:
-        """Remove a server whose entry went; false if it is kept for a while, since the entry may have lapsed."""
+        """Remove a server whose entry is gone; false if it is unknown, or kept for a while as possibly lapsed."""
         now = self._clock()
         if server not in self.servers:
             return False
@@ -149,7 +149,7 @@
         return True
 
     def replace_servers(self, servers: Iterable[BackendServer]) -> list[ServerId]:
-        """Take the whole list; gives the servers that were removed."""
+        """Replace the whole list; return the servers that were removed."""
         listed = {server.name: server for server in servers}
         self.has_servers = True
         removed = [
@@ -162,7 +162,7 @@
         return removed
 
     def expire_lapsed(self) -> list[ServerId]:
-        """Remove the servers whose entries have not come back; gives them."""
+        """Remove the servers whose lapsed entries were not written again in time; return them."""
         now = self._clock()
         over = [server for server, until in self._lapsed.items() if until <= now]
         for server in over:
@@ -170,7 +170,7 @@
         return over
 
     def list_software(self) -> set[str]:
-        """List the versions of the software that servers run."""
+        """List the software versions that servers run."""
         return {server.software for server in self.servers.values()}
 
     def list_servers(self, service: ServiceName) -> list[BackendServer]:
