--- a/packages/core/src/vaneturn_core/traffic/pace.py
+++ b/packages/core/src/vaneturn_core/traffic/pace.py
@@ -1,4 +1,4 @@
-"""The pace of one streamed answer: how far apart its events come, and what its longest pause consisted of."""
+"""The pace of one streamed answer: the pauses between its events, and what was done during the longest one."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 MEAN_WEIGHT: Final = 0.2  # of the newest pause in the moving average
 SPREAD_WEIGHT: Final = 0.2  # of the newest deviation from it
-SPREADS: Final = 4.0  # deviations above the mean that the pace of an answer explains, as in TCP's retransmission timer
-FEWEST_PAUSES: Final = 3  # of an answer before its pace explains anything
+SPREADS: Final = 4.0  # deviations above the mean that count as normal, as in TCP's retransmission timer
+FEWEST_PAUSES: Final = 3  # of an answer before a normal pause can be estimated
 
 
 class Stage(Enum):
-    """What is done about a silence, in this order."""
+    """The steps taken during a pause, in this order."""
 
-    LOOKED = "looked"  # the servers are asked for a sign of life
-    FOUND = "found"  # a lost or stalled one is known
-    WENT_ON = "went_on"  # another server was asked to go on
+    LOOKED = "looked"  # the servers of the chain were probed
+    FOUND = "found"  # one of them is known to be lost or stalled
+    WENT_ON = "went_on"  # another server was asked to resume the answer
 
 
 class Pause(Struct, frozen=True):
-    """A pause between two events, in seconds since it began; 0 for what was not done."""
+    """A pause between two events; the time of each step is in seconds since its beginning, or 0 if not taken."""
 
-    began: float  # steady time
+    began: float  # monotonic time
     length: float
     looked: float = 0.0
     found: float = 0.0
@@ -32,27 +32,27 @@
 
 
 class StreamPace:
-    """Takes the times of events, and of what is done while none comes."""
+    """Records the times of events, and of the steps taken during pauses."""
 
     def __init__(self) -> None:
-        self.usual = 0.0  # moving average of the pauses, seconds
+        self.usual = 0.0  # seconds; moving average of the pauses
         self.longest = Pause(0.0, 0.0)
-        self._spread = 0.0  # moving average of the deviation from it
+        self._spread = 0.0  # seconds; moving average of the deviation from it
         self._pauses = 0
-        self._newest: float | None = None  # steady time of the newest event
+        self._newest: float | None = None  # monotonic time of the newest event
         self._stages: dict[Stage, float] = {}
 
     def mark(self, stage: Stage, now: float) -> None:
-        """Take note of what is done about the silence; the first time counts."""
+        """Record a step of the current pause; only its first time counts."""
         if self._newest is not None:
             self._stages.setdefault(stage, now - self._newest)
 
     def find_stage(self, stage: Stage) -> float | None:
-        """Find the seconds of the silence until something was done about it; none when it was not."""
+        """Return the seconds from the beginning of the current pause to a step; none when it was not taken."""
         return self._stages.get(stage)
 
     def take_event(self, now: float) -> Pause | None:
-        """Take an event; gives the pause before it, none before the first."""
+        """Record an event and return the pause before it; none for the first event."""
         began, self._newest = self._newest, now
         if began is None:
             return None
@@ -60,7 +60,7 @@
         self._stages.clear()
         if pause.length > self.longest.length:
             self.longest = pause
-        if not pause.found:  # a loss says nothing of the pace
+        if not pause.found:  # pauses caused by a loss are not part of the pace
             self._learn(pause.length)
         return pause
 
@@ -73,7 +73,7 @@
         self.usual += MEAN_WEIGHT * (length - self.usual)
 
     def explain(self) -> float | None:
-        """Give the longest silence that the pace so far explains, seconds; none while too little was seen."""
+        """Return the longest normal pause in seconds, judging by the pauses so far; none while there are too few."""
         if self._pauses < FEWEST_PAUSES:
             return None
         return self.usual + SPREADS * self._spread
--- a/packages/core/src/vaneturn_core/traffic/startup.py
+++ b/packages/core/src/vaneturn_core/traffic/startup.py
@@ -1,27 +1,27 @@
-"""How long the requests of a node's first moments wait for its first configuration.
+"""How long requests wait for the first configuration of a node that has just started.
 
-Load pattern: all nodes lose power and come back together, and clients come at once. Each node reads the store over
-its own link: 0.05 s over 200 Mbit/s, over a second for the longest value over 10 Mbit/s. Who is turned away meanwhile
-finds the next node in the same state; who waits is served within the time it bears. So the wait goes by what the
-client bears, and not by a guess of how long a reading takes: a reading ends by itself when nothing arrives. One that
-has failed promises nothing, so that nobody waits for another one.
+When all nodes restart together after a power failure, clients connect immediately. Each node reads the store over its
+own link: this takes 0.05 s at 200 Mbit/s, and over a second for the longest value at 10 Mbit/s. A client that is
+refused meanwhile finds the other nodes in the same state; one that waits is served in time. So the wait depends on how
+long the client waits, not on an estimate of the reading time, since a reading ends by itself when no data arrives.
+After a failed reading nothing suggests that the next one succeeds, so requests do not wait for it.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-CLIENT_PATIENCE: Final = 2.0  # seconds without an event after which clients give a stream up, the first one included
-FIRST_EVENT_TIME: Final = 0.5  # seconds of that for the request itself
-WAIT_SHARE: Final = 0.5  # of the time that a client waits; the rest is for the request itself
+CLIENT_PATIENCE: Final = 2.0  # seconds without an event, the first one included, after which clients abandon a stream
+FIRST_EVENT_TIME: Final = 0.5  # seconds of CLIENT_PATIENCE that are reserved for the request itself
+WAIT_SHARE: Final = 0.5  # of the client's deadline; the rest is for the request itself
 
 
 def compute_first_wait(deadline: float | None, waited: float, *, is_read: bool) -> float:
-    """Compute how long a request may wait for the first configuration, seconds.
+    """Compute how many more seconds a request may wait for the first configuration.
 
-    :param deadline: seconds that the client waits in all; none when it does not say.
-    :param waited: seconds that the request has waited.
-    :param is_read: whether the first reading has ended, well or not.
+    :param deadline: seconds that the client waits in total; none when it does not say.
+    :param waited: seconds that the request has already waited.
+    :param is_read: whether the first reading has ended, successfully or not.
     """
     if is_read:
         return 0.0
