--- a/packages/core/src/vaneturn_core/traffic/__init__.py
+++ b/packages/core/src/vaneturn_core/traffic/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on the traffic of the users' platform: routes, chains of backend servers, what each one holds, limits."""
+"""Traffic decisions on the users' platform: routes, chains of backend servers, layer placement, and limits."""
--- a/packages/core/src/vaneturn_core/traffic/configuration.py
+++ b/packages/core/src/vaneturn_core/traffic/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as the traffic sees it, indexed for requests."""
+"""The part of the operators' configuration that concerns traffic, indexed for requests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Repeatability(Enum):
-    """What may be done again after a try whose outcome is unknown."""
+    """Whether a request may be repeated after a try whose outcome is unknown."""
 
     SAFE = "safe"  # may run any number of times
     UNSAFE = "unsafe"  # runs at most once
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """A service that carries a part of a route's requests."""
+    """A service that gets a share of a route's requests."""
 
     service: ServiceName
     weight: float
@@ -28,20 +28,20 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficRoute:
-    """What operators say of the requests under one path prefix of a host."""
+    """The operators' rules for requests under one path prefix of a host."""
 
     name: str
     host: str
-    prefix: str  # begins and ends with a slash
+    prefix: str  # of the path; begins and ends with a slash
     repeatability: Repeatability
     timeout: float  # seconds from the arrival of a request to its last byte
-    objective: float  # seconds to the answer, or to the first event
-    priority: int  # 0 is served first
+    objective: float  # seconds to the answer, or to the first event of a stream
+    priority: int  # 0 is the highest
     targets: tuple[Target, ...]
-    max_attempts: int  # backend servers that one request may run on
+    max_attempts: int  # largest number of backend servers that one request may run on
     is_public: bool  # needs no key
     is_resumable: bool
-    pause_objective: float | None  # seconds between two events
+    pause_objective: float | None  # longest acceptable pause between two events, seconds
 
     @property
     def may_repeat(self) -> bool:
@@ -55,26 +55,26 @@
 
     name: str
     bytes: float
-    step_factor: float  # on the times of steps and of context
+    step_factor: float  # multiplies the times of steps and of their growth
 
 
 @dataclass(frozen=True, slots=True)
 class EngineProfile:
-    """How the engines of a service run their model; times are for all layers on a kind of factor 1."""
+    """How the engines of a service run their model; times are for all layers on a kind with step factor 1."""
 
     model: str
-    slots: int
+    slots: int  # requests that a server runs at once
     layers: int
     layer_bytes: float
-    cache_bytes: float  # of one token on one layer
-    step: float  # seconds of a token step
+    cache_bytes: float  # cache of one token on one layer
+    step: float  # seconds per token step
     step_growth: float  # seconds that each token of the requests in progress adds to a token step
-    handover_bytes: float  # of a token's activations, from one server of a chain to the next
-    pipe_rate: float  # bytes a second between two data halls, shared by all
+    handover_bytes: float  # activations of one token, sent from one server of a chain to the next
+    pipe_rate: float  # bytes per second of the link between two data halls, shared by all
     usual_prompt: int  # tokens
     usual_answer: int  # tokens
     kinds: Mapping[str, ServerKind]
-    delays: Mapping[tuple[DataHall, DataHall], float]  # seconds one way between data halls
+    delays: Mapping[tuple[DataHall, DataHall], float]  # one-way network delay between data halls, seconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,17 +87,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """What a client may send, and how long it may take."""
+    """Limits on the size of a client's request and on the time to send it."""
 
     header_bytes: int = 16384
     body_bytes: int = 4194304
     header_time: float = 3.0  # seconds from the first byte of a request to the end of its head
-    idle_time: float = 15.0  # seconds
+    idle_time: float = 15.0  # seconds between requests on a connection
 
 
 @dataclass(frozen=True, slots=True)
 class TrafficCustomer:
-    """A customer and the rank of its requests, if it has one of its own."""
+    """A customer and the priority of its requests, if it differs from that of the route."""
 
     name: CustomerName
     priority: int | None
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True)
 class TrafficConfiguration:
-    """One version of the configuration, whole."""
+    """One complete version of the configuration."""
 
     version: Revision
     routes: Sequence[TrafficRoute]
@@ -122,7 +122,7 @@
         object.__setattr__(self, "_by_host", dict(by_host))
 
     def find_route(self, host: str, path: str) -> TrafficRoute | None:
-        """Find the route of the host whose prefix is the longest that begins the path."""
+        """Find the route of the host with the longest prefix that matches the path."""
         prefixes = self._by_host.get(host)
         if prefixes is None:
             return None
--- a/packages/core/src/vaneturn_core/traffic/layout.py
+++ b/packages/core/src/vaneturn_core/traffic/layout.py
@@ -1,9 +1,9 @@
-"""The plan of which layers each backend server should hold: whole chains inside each data hall, fast servers first.
+"""Planning of which layers each backend server should hold: complete chains inside each data hall, fast servers first.
 
-A hall's servers tile all layers in the order of their speed, each with as many layers as leave it room for the requests
-that one chain can have in progress. Each hall begins with its fastest servers at other layers, so that the loss of the
-same kind of server in all halls leaves every layer somewhere. Servers left over double the smallest parts of a hall:
-the loss of one of them leaves a chain there.
+The servers of a hall cover all layers in order of speed. Each gets as many layers as leave it memory for the requests
+that one chain can have in progress. The fastest servers get different layers in each hall, so that the loss of one kind
+of server in all halls does not remove every copy of a layer. The servers left over hold second copies of the smallest
+parts of a hall, so that the hall keeps a chain when one of those is lost.
 """
 
 from __future__ import annotations
@@ -17,14 +17,16 @@
 from vaneturn_core.traffic.servers import BackendServer, LayerRange, ServerState
 from vaneturn_core.traffic.tilings import HallTiler, Placement
 
-WEAK_SHARE: Final = 0.35  # of the mean cover; layers below it get a server from elsewhere
-ROOM_SHARE: Final = 0.67  # of the requests that a first server takes; worth of six busy days on 38 servers: 0.65, with
-# room for all of them 0.59, since more layers are on slow servers, and for half of them 0.52, since memory is short
-MOVE_GAIN: Final = 1.25  # by which a move must better the weakest cover: it costs a load
+WEAK_SHARE: Final = 0.35  # of the mean coverage; a server is moved to layers below this
+# share of a first server's slots for which each part of a chain should have memory. With 0.67, six busy days on 38
+# servers scored 0.65; with 1.0 they scored 0.59, since more layers are on slow servers, and with 0.5 they scored 0.52,
+# since memory runs short
+ROOM_SHARE: Final = 0.67
+MOVE_GAIN: Final = 1.25  # least factor by which a move must improve the lowest coverage, since it costs a model load
 
 
 class LayoutPlanner:
-    """One round over the servers of one model."""
+    """Plans one round of placements for the servers of one model."""
 
     def __init__(self, engine: EngineProfile, servers: Iterable[BackendServer]) -> None:
         self._engine = engine
@@ -32,20 +34,20 @@
         self._halls: defaultdict[str, list[BackendServer]] = defaultdict(list)
         for server in self._servers:
             self._halls[server.hall].append(server)
-        self._counts: dict[str, list[int]] = {}  # by data hall: holders of each layer
-        self._sizes: dict[str, list[int]] = {}  # by data hall: layers of the largest part that holds each layer
+        self._counts: dict[str, list[int]] = {}  # by data hall: number of holders of each layer
+        self._sizes: dict[str, list[int]] = {}  # by data hall: size of the largest part that holds each layer
         self._most_requests = ROOM_SHARE * engine.slots
         self._memory = ServerMemory(engine)
         self._tiler = HallTiler(engine, self._memory, self._most_requests)
-        self._cover = [0.0] * engine.layers  # requests that all holders of a layer have room for
+        self._cover = [0.0] * engine.layers  # coverage of each layer: requests that all its holders have memory for
         for server in self._servers:
             for layers in server.layers:
                 self._add(server, layers, 1)
 
     def plan_empty(self, *, takes_spare: bool = True) -> list[Placement]:
-        """Plan for the servers that hold nothing: halls without any layer are tiled, others filled up.
+        """Plan for the servers that hold no layers: tile the halls without any layers, and fill the gaps of the others.
 
-        :param takes_spare: whether servers get layers that others in the hall hold already.
+        :param takes_spare: whether a server may get layers that others in its hall already hold.
         """
         placements: list[Placement] = []
         for number, (hall, servers) in enumerate(sorted(self._halls.items())):
@@ -64,7 +66,7 @@
         return placements
 
     def plan_repair(self) -> list[Placement]:
-        """Plan for layers that nobody in a hall holds: the servers beside them take them over."""
+        """Plan for layers that no server in a hall holds: the servers with the adjacent layers take them over."""
         placements = []
         for hall, servers in sorted(self._halls.items()):
             counts = self._counts.get(hall)
@@ -75,7 +77,7 @@
         return placements
 
     def plan_move(self) -> Placement | None:
-        """Plan to move one server to layers that too few hold; none while the cover is good enough."""
+        """Plan to move one server to layers with too little coverage; none while coverage is sufficient."""
         mean = sum(self._cover) / len(self._cover)
         weakest = min(self._cover)
         if not mean or weakest >= WEAK_SHARE * mean:
@@ -97,7 +99,7 @@
         return best
 
     def _tile_hall(self, servers: Iterable[BackendServer], shift: float) -> Iterator[Placement]:
-        """Tile all layers as often as they fit; the servers left over double some of them."""
+        """Tile all layers as often as the memory allows; the servers left over hold second copies."""
         placements, rest = self._tiler.tile(servers, shift)
         for placement in placements:
             self._add(placement.server, placement.layers, 1)
@@ -108,7 +110,7 @@
             yield Placement(server, layers)
 
     def _find_gap(self, server: BackendServer, hall: str) -> LayerRange | None:
-        """Find the layers that an empty server should hold first: those that nobody in its hall holds."""
+        """Find layers for an empty server in the largest gap of its hall; none when the hall has no gap."""
         counts = self._counts.get(hall, [0] * self._engine.layers)
         runs = _list_runs([count == 0 for count in counts])
         if not runs:
@@ -122,7 +124,7 @@
         return gap
 
     def _close_gap(self, servers: Iterable[BackendServer], gap: LayerRange) -> list[Placement]:
-        """Let the servers on both sides of a gap share it by the room they have."""
+        """Divide a gap between the servers on both sides of it, in proportion to their free memory."""
         before = max(_list_beside(servers, gap, is_before=True), key=self._memory.count_free, default=None)
         after = max(_list_beside(servers, gap, is_before=False), key=self._memory.count_free, default=None)
         free_before = self._memory.count_free(before) if before is not None else 0
@@ -139,7 +141,7 @@
         return placements
 
     def _move_spares(self, servers: Iterable[BackendServer], gap: LayerRange) -> list[Placement]:
-        """Let servers whose layers others in the hall hold as well close a gap; none when they cannot close it all."""
+        """Move servers whose layers have other holders in the hall into a gap; none if they cannot close all of it."""
         placements: list[Placement] = []
         first = gap.first
         for server in sorted(servers, key=lambda one: (-self._memory.count_most_layers(one), one.id)):
@@ -164,17 +166,17 @@
         return min(self._counts[server.hall][held.first : held.end]) > 1
 
     def _find_spare(self, server: BackendServer) -> LayerRange:
-        """Find the layers that a server more should double: few holders in its hall, small parts, weak cover."""
+        """Find layers for a spare server: those with few holders in its hall, then small parts, then low coverage."""
         counts = self._counts.setdefault(server.hall, [0] * self._engine.layers)
         sizes = self._sizes.setdefault(server.hall, [0] * self._engine.layers)
         return self._find_least(server, counts, sizes, self._cover)
 
     def _find_weakest(self, server: BackendServer) -> LayerRange:
-        """Find the layers with the least room in all halls."""
+        """Find the layers with the lowest coverage over all halls."""
         return self._find_least(server, self._cover)
 
     def _find_least(self, server: BackendServer, *figures: Sequence[float]) -> LayerRange:
-        """Find the layers for a server with the least sum of the first figure; the next ones decide between equals."""
+        """Find the layers with the lowest sum of the first figure; the next figures break ties."""
         size = max(1, min(self._memory.count_roomy_layers(server, self._most_requests), self._engine.layers))
         starts = range(self._engine.layers - size + 1)
         first = min(starts, key=lambda start: [sum(figure[start : start + size]) for figure in figures])
@@ -191,7 +193,7 @@
 
 
 def _list_beside(servers: Iterable[BackendServer], gap: LayerRange, *, is_before: bool) -> list[BackendServer]:
-    """List the servers with one range that ends where a gap begins, or begins where it ends."""
+    """List the servers with a single range that ends where a gap begins, or begins where the gap ends."""
     single = [server for server in servers if len(server.layers) == 1]
     if is_before:
         return [server for server in single if server.layers[0].end == gap.first]
--- a/packages/core/src/vaneturn_core/traffic/memory.py
+++ b/packages/core/src/vaneturn_core/traffic/memory.py
@@ -1,4 +1,4 @@
-"""How many layers a backend server may hold, and how many requests it then has room for."""
+"""How many layers a backend server may hold, and how many requests fit beside them."""
 
 from __future__ import annotations
 
@@ -7,35 +7,35 @@
 from vaneturn_core.traffic.configuration import EngineProfile
 from vaneturn_core.traffic.servers import BackendServer, LayerRange
 
-MAX_WEIGHTS_SHARE: Final = 0.75  # of a server's memory that weights may take; the rest is room for requests
+MAX_WEIGHTS_SHARE: Final = 0.75  # of a server's memory; the rest is for requests
 
 
 class ServerMemory:
-    """The memory of servers of one model."""
+    """Memory arithmetic for the servers of one model."""
 
     def __init__(self, engine: EngineProfile) -> None:
         self._engine = engine
         self._request_bytes = (engine.usual_prompt + engine.usual_answer) * engine.cache_bytes  # for each layer
 
     def count_bytes(self, server: BackendServer) -> float:
-        """Count the memory of a server."""
+        """Return the memory of a server in bytes."""
         return self._engine.kinds[server.kind or ""].bytes
 
     def count_most_layers(self, server: BackendServer) -> int:
-        """Count the layers that a server may hold at most."""
+        """Count how many layers a server may hold at most."""
         return max(1, int(MAX_WEIGHTS_SHARE * self.count_bytes(server) / self._engine.layer_bytes))
 
     def count_roomy_layers(self, server: BackendServer, requests: float) -> int:
-        """Count the layers that leave a server room for so many requests."""
+        """Count how many layers a server may hold and still have memory for a number of requests."""
         roomy = self.count_bytes(server) / (self._engine.layer_bytes + requests * self._request_bytes)
         return min(int(roomy), self.count_most_layers(server))
 
     def count_free(self, server: BackendServer) -> int:
-        """Count the layers that a server may take beside its own."""
+        """Count how many more layers a server may hold."""
         return max(0, self.count_most_layers(server) - sum(len(layers) for layers in server.layers))
 
     def count_requests(self, server: BackendServer, layers: LayerRange) -> float:
-        """Count the requests that a server has room for beside some layers, one at least."""
+        """Count the requests that fit into a server's memory beside the given layers, at least one."""
         free = self.count_bytes(server) - len(layers) * self._engine.layer_bytes
         return max(1.0, free / (self._request_bytes * len(layers)))
 
--- a/packages/core/src/vaneturn_core/traffic/settings.py
+++ b/packages/core/src/vaneturn_core/traffic/settings.py
@@ -1,4 +1,4 @@
-"""Checked settings of a node on the users' platform; deploy/settings.json fills them in."""
+"""Settings of a node on the users' platform and their validation; deploy/settings.json is the template."""
 
 from __future__ import annotations
 
@@ -13,46 +13,46 @@
 from vaneturn_core.identifiers import DataHall, VmId
 from vaneturn_core.settings import Address
 
-SETTINGS_VARIABLE: Final = "VANETURN_NODE_FILE"  # names the settings file when no option does
+SETTINGS_VARIABLE: Final = "VANETURN_NODE_FILE"  # path of the settings file, used when the option is absent
 Milliseconds = Annotated[float, Meta(ge=0)]
 PositiveMilliseconds = Annotated[float, Meta(gt=0)]
 PositiveSeconds = Annotated[float, Meta(gt=0)]
 
 
 class Bounds(Struct, frozen=True, kw_only=True):
-    """Times and shares that the operators hold the system to."""
+    """Limits on delays and retries that the operators require."""
 
-    keys_valid_ms: Milliseconds = 5000.0  # from the removal of a key to its last request
-    leaving_ms: PositiveMilliseconds = 2000.0  # from a server's word that it leaves to the last request sent to it
-    change_ms: PositiveMilliseconds = 2000.0  # from a new configuration to the last request by the one before
+    keys_valid_ms: Milliseconds = 5000.0  # from the removal of a key to the last request accepted with it
+    leaving_ms: PositiveMilliseconds = 2000.0  # from a server's notice that it leaves to the last request sent to it
+    change_ms: PositiveMilliseconds = 2000.0  # from a new configuration to the last request under the previous one
     stop_s: PositiveSeconds = 8.0  # from SIGTERM to SIGKILL
-    retry_ratio: Annotated[float, Meta(ge=0)] = 0.2  # second sends for each first, over all nodes
+    retry_ratio: Annotated[float, Meta(ge=0)] = 0.2  # retries per first send, over all nodes
     retry_window_s: PositiveSeconds = 10.0
-    retry_slack: Annotated[float, Meta(ge=0)] = 100.0  # second sends in a window beyond the ratio
+    retry_slack: Annotated[float, Meta(ge=0)] = 100.0  # retries per window beyond the ratio, over all nodes
 
 
 class TrafficSettings(Struct, frozen=True, kw_only=True):
-    """What a node learns from its settings file."""
+    """The contents of a node's settings file."""
 
     vm: VmId
     data_hall: DataHall
     client_address: Address
     readiness_address: Address
     metrics_address: Address
-    peer_address: Address  # where it tells other nodes of changes
+    peer_address: Address  # serves changes and reports to other nodes
     store_address: Address
     bounds: Bounds = Bounds()
     log_level: Annotated[str, Meta(pattern="^(DEBUG|INFO|WARNING|ERROR)$")] = "INFO"
 
 
 def find_settings_path(option: Path | None) -> Path | None:
-    """Find the settings file: the option goes before the variable."""
+    """Find the path of the settings file; the option takes precedence over the environment variable."""
     named = os.environ.get(SETTINGS_VARIABLE)
     return option or (Path(named) if named else None)
 
 
 def load_traffic_settings(path: Path) -> TrafficSettings | Fault:
-    """Read and check a settings file; the fault names the file and the place in it."""
+    """Read and validate a settings file; a fault names the file and the position of the error in it."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=TrafficSettings)
     except OSError as error:
--- a/packages/core/src/vaneturn_core/traffic/state.py
+++ b/packages/core/src/vaneturn_core/traffic/state.py
@@ -1,4 +1,4 @@
-"""What a node tells operators of its traffic: its view, its servers, and what became of requests."""
+"""The state that a node shows to operators: its view, its servers, and the outcomes of requests."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class SeenServer(Struct, frozen=True):
-    """One backend server as a node sees it."""
+    """One backend server as this node sees it."""
 
     id: str
     service: str
@@ -15,32 +15,32 @@
     state: str
     layers: list[tuple[int, int]]  # [first, end)
     in_progress: int  # requests of this node
-    failures: int  # in a row
-    resting: float  # seconds for which it gets no new work
-    slowness: float  # over 1: slower than its kind, by its own word
-    rate_limit: float | None = None  # requests a second from all nodes that it takes, by its own word
-    asked_rest: float = 0.0  # seconds for which it wants no request from this node
-    is_leaving: bool = False  # by its own word
+    failures: int  # consecutive
+    resting: float  # remaining seconds of backoff
+    slowness: float  # reported by the server; above 1, it is slower than its kind
+    rate_limit: float | None = None  # set by the server; requests per second from all nodes
+    asked_rest: float = 0.0  # remaining seconds of the rest that the server asked for
+    is_leaving: bool = False  # reported by the server
 
 
 class TrafficState(Struct, frozen=True):
-    """What a node believes, and how old that is."""
+    """The view of a node and its age."""
 
     vm: str
     node: str
     version: int | None  # of the configuration in force
-    age: float  # seconds since the store confirmed what is believed
+    age: float  # seconds since the store confirmed the view
     is_ready: bool
     is_stopping: bool
     has_tenure: bool
     nodes: list[str]
-    relay: str | None  # the node that tells it of changes; none when it asks the store
+    relay: str | None  # the node from which it gets changes; none when it asks the store
     in_progress: int
     servers: list[SeenServer]
 
 
 class TrafficRequest(Struct, frozen=True):
-    """What became of one request; the fields stand in the log line as well."""
+    """The outcome of one request; the fields are also those of its log line."""
 
     request: str | None
     route: str
@@ -48,17 +48,17 @@
     ending: str
     seconds: float
     version: int | None  # of the configuration in force at its end
-    age: float  # seconds since the store had confirmed it
+    age: float  # of the view at its end: seconds since the store confirmed it
     steps: list[str]
     reason: str = ""
     cause: str = ""
-    events: int = 0  # of a stream, passed on
-    first_event: float = 0.0  # seconds from its arrival
-    longest_pause: float = 0.0  # seconds between two of them
-    looked: float = 0.0  # seconds into that pause until its servers were asked; 0 if they were not
-    found: float = 0.0  # until one of them was known to be lost or to stall
-    went_on: float = 0.0  # until another server was asked to go on
-    content: str = ""  # digest of what it asks for, the same when it comes again under another id
+    events: int = 0  # of a stream, passed on to the client
+    first_event: float = 0.0  # seconds from the arrival of the request
+    longest_pause: float = 0.0  # seconds between two events
+    looked: float = 0.0  # seconds from the beginning of that pause until its servers were probed; 0 if they were not
+    found: float = 0.0  # the same until one of them was known to be lost or stalled
+    went_on: float = 0.0  # the same until another server was asked to resume the answer
+    content: str = ""  # digest of what it asks for; a retry with another id has the same digest
 
 
 __all__ = ["SeenServer", "TrafficRequest", "TrafficState"]
--- a/packages/core/src/vaneturn_core/traffic/tilings.py
+++ b/packages/core/src/vaneturn_core/traffic/tilings.py
@@ -1,4 +1,4 @@
-"""Whole tilings of a data hall: all layers once and in order, over its fastest servers first."""
+"""Complete tilings of a data hall: each covers all layers exactly once and in order, with the fastest servers first."""
 
 from __future__ import annotations
 
@@ -11,33 +11,33 @@
 from vaneturn_core.traffic.memory import ServerMemory
 from vaneturn_core.traffic.servers import BackendServer, LayerRange
 
-LESS_ROOM: Final = 0.85  # of the room wanted, where it spares a chain its last server, which costs each token 0.8 ms
-ROOM_STEPS: Final = 12  # halvings of the room of a chain: to a fortieth of a request at 96
-TILING_SHIFT: Final = 0.5  # of the layers, between the fastest servers of two tilings of a hall
+LESS_ROOM: Final = 0.85  # of the wanted capacity; accepted if it saves a server, which would cost each token 0.8 ms
+ROOM_STEPS: Final = 12  # bisection steps for the capacity of a chain: precise to a fortieth of a request at 96
+TILING_SHIFT: Final = 0.5  # of the layers; offset between the fastest servers of successive tilings of a hall
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """What one server should hold."""
+    """The layers that one server should hold."""
 
     server: BackendServer
     layers: LayerRange
 
 
 class HallTiler:
-    """Tiles halls for servers of one model."""
+    """Computes tilings of halls for the servers of one model."""
 
     def __init__(self, engine: EngineProfile, memory: ServerMemory, most_requests: float) -> None:
-        """Prepare.
+        """Create a tiler.
 
-        :param most_requests: that a chain should have room for, if its hall has the memory.
+        :param most_requests: requests that a chain should have memory for, if its hall has enough.
         """
         self._engine = engine
         self._memory = memory
         self._most_requests = most_requests
 
     def tile(self, servers: Iterable[BackendServer], shift: float) -> tuple[list[Placement], list[BackendServer]]:
-        """Tile all layers as often as they fit; gives the servers left over as well.
+        """Tile all layers as often as the memory allows; return the placements and the servers left over.
 
         :param shift: share of the layers before the fastest server of the first tiling.
         """
@@ -56,7 +56,7 @@
         return placements, left_over
 
     def _deal(self, servers: Iterable[BackendServer], groups: int) -> list[list[BackendServer]]:
-        """Deal servers into groups of about the same memory and kinds, one for each tiling."""
+        """Divide servers into groups with about the same memory and kinds, one for each tiling."""
         dealt: list[list[BackendServer]] = [[] for _ in range(groups)]
         filled = [0.0] * groups
         for server in sorted(servers, key=lambda one: (-self._memory.count_bytes(one), one.id)):
@@ -66,7 +66,7 @@
         return dealt
 
     def _take_tiling(self, servers: Sequence[BackendServer], requests: float) -> list[tuple[BackendServer, int]]:
-        """Take the first servers that hold all layers, each with its number of layers; empty when all do not."""
+        """Take servers in order until they hold all layers, each with its number of layers; empty if they cannot."""
         parts: list[tuple[BackendServer, int]] = []
         left = self._engine.layers
         for server in servers:
@@ -78,7 +78,7 @@
         return []
 
     def _find_room(self, servers: Iterable[BackendServer]) -> float:
-        """Find how many requests a chain of a hall can have room for: those wanted, or fewer."""
+        """Find how many requests a chain of the hall can have memory for, up to the wanted number."""
         least, most = 0.0, self._most_requests
         if self._can_tile(servers, most):
             return most
@@ -94,13 +94,13 @@
         return sum(self._memory.count_roomy_layers(server, requests) for server in servers) >= self._engine.layers
 
     def _estimate_layer_time(self, server: BackendServer, requests: float) -> float:
-        """Estimate the seconds that a token takes for each layer there, its wait at the server included."""
+        """Estimate the seconds that a token takes per layer on a server, including its wait there."""
         step = self._engine.step * self._engine.kinds[server.kind or ""].step_factor / self._engine.layers
         return step + HOP_TIME / max(1, self._memory.count_roomy_layers(server, requests))
 
 
 def _lay_out(parts: Sequence[tuple[BackendServer, int]], before: int) -> Iterator[Placement]:
-    """Lay parts out over the layers, the last ones first until so many layers are before the first one."""
+    """Assign parts to layers, rotated: the last parts come first until enough layers are before the first part."""
     turn = len(parts)
     while turn > 1 and sum(size for _, size in parts[turn:]) < before:
         turn -= 1
