--- a/tests/core/traffic/samples.py
+++ b/tests/core/traffic/samples.py
@@ -1,4 +1,4 @@
-"""Engines and servers for tests of decisions."""
+"""Sample engines and servers for the tests of traffic decisions."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 
 
 def make_fleet(halls: Mapping[str, Mapping[str, int]] = HALLS) -> list[BackendServer]:
-    """Make the servers of the users' halls, all empty."""
+    """Make the servers of all halls, without layers."""
     fleet: list[BackendServer] = []
     for hall, kinds in halls.items():
         for kind, count in kinds.items():
@@ -74,6 +74,6 @@
 
 
 def place(engine: EngineProfile, fleet: list[BackendServer]) -> list[BackendServer]:
-    """Let each server hold what the first plan gives it."""
+    """Give each server the layers of the first plan."""
     held = {one.server.id: (one.layers,) for one in LayoutPlanner(engine, fleet).plan_empty()}
     return [dataclasses.replace(server, layers=held.get(server.id, ())) for server in fleet]
--- a/tests/core/traffic/test_arrivals.py
+++ b/tests/core/traffic/test_arrivals.py
@@ -1,4 +1,4 @@
-"""Requests a second of a node."""
+"""The arrival rate of a node counts the requests of the sliding window."""
 
 from __future__ import annotations
 
--- a/tests/core/traffic/test_chains.py
+++ b/tests/core/traffic/test_chains.py
@@ -1,4 +1,4 @@
-"""The choice of a chain: it tiles all layers, stays in one hall, and leaves full servers out."""
+"""The chosen chain covers all layers, stays in one hall where possible, and avoids full servers."""
 
 from __future__ import annotations
 
@@ -120,11 +120,14 @@
     fleet.append(make_server(1, "a100", layers=(0, 40)))
     beliefs = ServerBeliefs()
     chosen = {choose(fleet, beliefs) for _ in range(5 * MAX_HOLDERS)}
-    assert len(chosen) > MAX_HOLDERS  # not the same few each time
+    assert len(chosen) > MAX_HOLDERS  # a different sample each time
 
 
 def test_chain_stays_inside_another_hall_when_the_own_candidates_lead_nowhere() -> None:
-    """Prompts of 130 streams a second crossed pipes that carry 36, beside halls that held all layers."""
+    """Guards against crossing halls while one hall holds all layers.
+
+    The prompts of 130 streams per second then crossed links that carry 36.
+    """
     broken = {"osborne", "welshpool", "bibra-lake"}
     fleet = place(LARGE_ENGINE, make_fleet(LARGE_HALLS))
     left = [one for one in fleet if one.hall not in broken or one.layers[0].first == 0 or one.layers[0].end == 80]
@@ -136,7 +139,7 @@
 
 
 def test_room_elsewhere_is_found_when_the_candidates_are_full() -> None:
-    """Two candidates of a choice were full: the request must not be turned away beside 18 empty servers."""
+    """A request must not be refused because its two candidates are full while 18 other servers are empty."""
     fleet = [make_server(number, "l40s", layers=(0, 8)) for number in range(1, 21)]
     fleet += [make_server(21 + index, "a100", layers=(8 + 24 * index, 32 + 24 * index)) for index in range(3)]
     for node in ("entry-1", "entry-2", "entry-3"):
@@ -181,7 +184,7 @@
 
 
 def test_first_server_with_all_places_taken_is_left() -> None:
-    """30 requests a second waited 1 to 2 s for a place at one first server while others had room."""
+    """Otherwise 30 requests per second wait 1 to 2 s for a slot on one first server while others have free slots."""
     fleet = [make_server(1, "a100", "osborne", (0, 80)), make_server(2, "l4", "malaga", (0, 80))]
     beliefs = ServerBeliefs()
     beliefs[fleet[0].id].leading = fleet[0].slots // 8
@@ -191,7 +194,7 @@
 
 
 def test_told_loads_of_other_nodes_count_in_place_of_an_estimate() -> None:
-    """By its own load times the nodes, a node left its own hall's free chain for a crowded one."""
+    """Estimated as its own load times the number of nodes, a free chain in a node's hall looked full."""
     fleet = [make_server(1, "a100", "osborne", (0, 80)), make_server(2, "l4", "malaga", (0, 80))]
     now = [100.0]
     beliefs, board = ServerBeliefs(), LoadBoard(lambda: now[0])
@@ -209,7 +212,7 @@
 
 
 def test_chain_over_halls_is_for_as_many_requests_as_the_pipes_carry() -> None:
-    """Of 20 streams a second over pipes that carry 2, all waited until their clients left."""
+    """With 20 streams per second over links that carry 2, all of them waited until their clients gave up."""
     fleet = [make_server(1, "l40s", "osborne", (0, 18)), make_server(2, "a100", "malaga", (18, 40))]
     fleet += [make_server(3, "a100", "welshpool", (40, 62)), make_server(4, "l40s", "osborne", (62, 80))]
     crossing_time = 3 * 774.0 * ENGINE.handover_bytes / ENGINE.pipe_rate
--- a/tests/core/traffic/test_configuration.py
+++ b/tests/core/traffic/test_configuration.py
@@ -1,4 +1,4 @@
-"""Routes: the longest prefix of a host wins."""
+"""The route with the longest matching prefix of a host is found."""
 
 from __future__ import annotations
 
--- a/tests/core/traffic/test_crashes.py
+++ b/tests/core/traffic/test_crashes.py
@@ -1,4 +1,4 @@
-"""A request is barred by the ends of servers that had just begun to run it; bystanders are not, or are cleared."""
+"""A request is barred after crashes of servers that had just begun to run it; others are not, or are cleared."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass
 class Scene:
-    """A board with a clock and a fleet's software of its own."""
+    """A crash board with its own clock and set of listed software versions."""
 
     now: float = 100.0
     software: set[str] = field(default_factory=lambda: {"v1"})
@@ -131,7 +131,10 @@
 
 
 def test_popular_request_is_no_suspect_where_it_has_run_well() -> None:
-    """Its copies were on both servers that ended within 0.2 s, none of them with an event; it had ended well before."""
+    """Copies of a request that had completed before were on both of two servers that crashed within 0.2 s.
+
+    None of the copies had produced an event, so they looked like the cause.
+    """
     scene, other = Scene(), Scene()
     scene.board.note_sound(OTHER, "v1")
     for server in range(2):
--- a/tests/core/traffic/test_crossings.py
+++ b/tests/core/traffic/test_crossings.py
@@ -1,4 +1,4 @@
-"""The share of requests that may cross from hall to hall: what the pipes carry, and no fewer."""
+"""As many requests may cross halls as the inter-hall links carry, no more and no fewer."""
 
 from __future__ import annotations
 
--- a/tests/core/traffic/test_deadlyload.py
+++ b/tests/core/traffic/test_deadlyload.py
@@ -1,16 +1,16 @@
-"""What a request that ends servers does to a fleet, with what nodes remember and without, on a model of it.
+"""A model of the damage that a request which crashes servers does to a fleet, without and with the crash board.
 
-One such request a second among honest ones, 20 s, the mean over eight seeds:
+One such request per second among harmless ones, for 20 s, mean over eight seeds (without -> with):
 
-===== ======= ============= ========================== =================== =================
-nodes servers servers ended sends 3 s after the third  refused wrongly     all nodes know in
-===== ======= ============= ========================== =================== =================
-8     3       9.9 -> 2.1    9.3 -> 0                   0 -> 0.5 of 440     0.42 s
-60    15      45.3 -> 2.0   44.5 -> 0                  0 -> 0 of 2,400     0.42 s
-195   40      106.9 -> 2.1  105.9 -> 0                 0 -> 0 of 4,900     0.40 s
-===== ======= ============= ========================== =================== =================
+===== ======= =============== ============================== =================== ===================
+nodes servers servers crashed sends 3 s after the 3rd crash  refused wrongly     barred by all after
+===== ======= =============== ============================== =================== ===================
+8     3       9.9 -> 2.1      9.3 -> 0                       0 -> 0.5 of 440     0.42 s
+60    15      45.3 -> 2.0     44.5 -> 0                      0 -> 0 of 2,400     0.42 s
+195   40      106.9 -> 2.1    105.9 -> 0                     0 -> 0 of 4,900     0.40 s
+===== ======= =============== ============================== =================== ===================
 
-Streams of honest clients that were broken off: 401, 1,691 and 1,369; with it 18 (all in one seed of eight), 0 and 0.
+Harmless streams that were interrupted: 401, 1,691 and 1,369 without; 18 (all in one seed of eight), 0 and 0 with.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from rig.deadlymodel import DeadlyModel
 
 SECONDS = 20.0
-CONTACT_TIME = 3.0  # seconds that the users give nodes to hear of it
+CONTACT_TIME = 3.0  # seconds; time allowed until nodes know of it
 FLEETS = [pytest.param(*sizes, id=str(sizes[0])) for sizes in ((8, 3, 22.0), (60, 15, 120.0), (195, 40, 244.0))]
 
 
@@ -40,7 +40,7 @@
         assert harm.all_barring is not None
         assert harm.all_barring - harm.sends[0] < 1.0
         wrong += harm.barred
-    assert wrong <= 8  # bystanders, of 3,500 and more
+    assert wrong <= 8  # harmless requests, of 3,500 and more
 
 
 @pytest.mark.parametrize(("nodes", "servers", "rate"), FLEETS)
--- a/tests/core/traffic/test_firsts.py
+++ b/tests/core/traffic/test_firsts.py
@@ -1,4 +1,4 @@
-"""The candidates of a choice: one in the own hall, one anywhere, from few that stay the same."""
+"""The candidates of a choice: one in the node's hall and one in any hall, from a small fixed set."""
 
 from __future__ import annotations
 
--- a/tests/core/traffic/test_hearing.py
+++ b/tests/core/traffic/test_hearing.py
@@ -1,4 +1,4 @@
-"""Only a prompt answer shows that the way to this VM is free, and only for questions that are not newer."""
+"""Only a prompt answer shows that this VM can reach others, and only for probes that were not sent later."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def test_late_answer_counts_for_nothing() -> None:
-    """Behind a full link tokens and answers still come, in their turn."""
+    """On a full link, tokens and answers still arrive, but late."""
     clock = Clock()
     hearing = Hearing(clock)
     clock.now += 2 * PROMPT
--- a/tests/core/traffic/test_layout.py
+++ b/tests/core/traffic/test_layout.py
@@ -1,4 +1,4 @@
-"""What servers should hold: whole chains in each hall, within memory, mended when a server is lost."""
+"""Planned layers form complete chains in each hall, fit into memory, and are repaired when a server is lost."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def find_tiling(fleet: list[BackendServer], first: int = 0) -> list[BackendServer] | None:
-    """Find servers whose whole ranges hold all layers once and in order."""
+    """Find servers whose ranges together cover all layers exactly once and in order."""
     if first == ENGINE.layers:
         return []
     for server in fleet:
@@ -52,7 +52,7 @@
 
 
 def test_fast_servers_hold_more_than_their_share_of_memory() -> None:
-    """With layers in proportion to memory, a step of the slowest hall was 9.8 times one of factor 1, not 7.1."""
+    """With layers in proportion to memory, a step in the slowest hall takes 9.8 times one of factor 1, not 7.1."""
     fleet = make_fleet()
     placed = apply(fleet, LayoutPlanner(ENGINE, fleet).plan_empty())
     for hall in HALLS:
@@ -70,7 +70,7 @@
 
 
 def test_layers_of_lost_fast_servers_are_held_in_other_halls() -> None:
-    """All halls began with their fastest servers: a release that replaced these left no chain for 3 s."""
+    """If fastest servers of all halls hold the same layers, replacing these in a release leaves no chain for 3 s."""
     fleet = make_fleet()
     placed = apply(fleet, LayoutPlanner(ENGINE, fleet).plan_empty())
     assert min(count_holders([server for server in placed if server.kind != "a100"])) >= 1
@@ -83,7 +83,7 @@
     assert doubled >= 50
     for server in placed:
         counts = count_holders(placed, server.hall)
-        if len(server.layers[0]) > 20:  # a large part is doubled only when nothing smaller is left
+        if len(server.layers[0]) > 20:  # a large part gets a second copy only when no smaller one is left
             held = server.layers[0]
             assert sum(count > 1 for count in counts[held.first : held.end]) < len(held)
 
@@ -123,7 +123,7 @@
 
 
 def find_single(placed: list[BackendServer]) -> BackendServer:
-    """Find a server with layers that no other in its hall holds."""
+    """Find a server with layers that no other server in its hall holds."""
     return next(
         one for one in placed if not min(count_holders([other for other in placed if other is not one], one.hall))
     )
--- a/tests/core/traffic/test_loads.py
+++ b/tests/core/traffic/test_loads.py
@@ -1,4 +1,4 @@
-"""What nodes have in progress on servers, summed over all of them, and forgotten when it is old."""
+"""Loads are summed over all nodes, and ignored when they are old."""
 
 from __future__ import annotations
 
--- a/tests/core/traffic/test_losses.py
+++ b/tests/core/traffic/test_losses.py
@@ -1,4 +1,4 @@
-"""Losses that nodes tell each other: one node alone is not believed, two are."""
+"""Losses that nodes report to each other: two nodes must have found the same loss."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
     board.take_relay(VmId("entry-8"), {LOST: Finding(103.0)}, {})
     board.take_relay(VmId("entry-9"), {LOST: Finding(102.0)}, {})
     assert board.list_confirmed({}) == {LOST: 102.0}
-    assert board.join_followers({}) == {}, "a relay tells only what it and its followers have found"
+    assert board.join_followers({}) == {}, "a relay reports only what it and its followers have found"
 
 
 def test_two_nodes_behind_one_relay_confirm_a_loss(board: LossBoard) -> None:
@@ -86,7 +86,7 @@
 
 
 def test_refusal_by_a_server_that_should_be_full_is_no_loss() -> None:
-    """Of many nodes hardly one has heard of a full server lately: each took it for lost, for up to 8 s."""
+    """Of many nodes, few have a recent token from a full server; the others took it for lost, for up to 8 s."""
     beliefs = ServerBeliefs()
     beliefs[LOST].record_refusal(100.0, LIKELY_FULL)
     assert beliefs.list_found(100.1) == {}
--- a/tests/core/traffic/test_outage.py
+++ b/tests/core/traffic/test_outage.py
@@ -1,4 +1,4 @@
-"""Calls on a store that is away for all, and how soon nodes have it back."""
+"""The number of calls to a store that is unreachable for all nodes, and how soon nodes reach it again afterwards."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def play_outage(nodes: int, *, leaves_it_to_relays: bool) -> tuple[int, float]:
-    """Let the store be away; gives the calls of all nodes, and the mean seconds until they have it back."""
+    """Simulate an outage; return the calls of all nodes and the mean seconds until they reach the store again."""
     random.seed(1)
     relays = count_relays(nodes)
     calls = 0
@@ -37,7 +37,7 @@
             now += draw_retry(failures)
             failures += 1
         returns.append(now - OUTAGE)
-    if leaves_it_to_relays:  # a relay that is back tells those who ask it
+    if leaves_it_to_relays:  # a relay that reaches the store again informs its followers
         back = min(returns[:relays])
         returns = [min(own, max(back, random.uniform(0, RELAY_RETRY + MAX_RETRY))) for own in returns]
     return calls, sum(returns) / nodes
@@ -45,7 +45,10 @@
 
 @pytest.mark.parametrize("nodes", [64, 195])
 def test_outage_costs_few_calls_and_ends_no_later(nodes: int) -> None:
-    """Calls in 8 s: 1,453 -> 278 at 64 nodes, 4,481 -> 825 at 195; back after 0.27 and 0.21 s, 0.28 without."""
+    """Leaving the store to the relays takes 278 calls in 8 s in place of 1,453 at 64 nodes, 825 for 4,481 at 195.
+
+    Nodes reach the store again after 0.27 and 0.21 s, and after 0.28 s without it.
+    """
     calls, back = play_outage(nodes, leaves_it_to_relays=True)
     calls_without, back_without = play_outage(nodes, leaves_it_to_relays=False)
     assert calls < calls_without / 2
--- a/tests/core/traffic/test_patience.py
+++ b/tests/core/traffic/test_patience.py
@@ -1,4 +1,4 @@
-"""When a silence is looked into: by what the caller bears, what going on costs, and what the pace explains."""
+"""When a paused stream is probed: by the longest pause accepted, the time to resume, and the pace of the answer."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 from vaneturn_core.traffic.pace import Pause, StreamPace
 from vaneturn_core.traffic.patience import ASSUMED_RETURN, FALSE_SHARE, FIRST_ORDINARY, LONGEST, SHORTEST, Patience
 
-QUESTION = 0.03  # seconds until a server that is dark counts as silent, beside the answers of the others
-LONGEST_QUESTION = 0.06  # the same, by a time of its own
-# seconds from a send to the first event on other servers, by the share of 345 returns on two days at 64 nodes
+QUESTION = 0.03  # seconds until a server without an answer counts as unresponsive, given the answers of the others
+LONGEST_QUESTION = 0.06  # the same by a fixed timeout
+# (share, seconds): distribution of the time from a send to the first event on other servers, from 345 resumes on 64
+# nodes
 READING = ((0.0, 0.015), (0.1, 0.02), (0.25, 0.04), (0.5, 0.062), (0.75, 0.1), (0.9, 0.135), (0.95, 0.16), (1.0, 0.22))
-HICCUP = 0.03  # seconds that a prompt of another request holds a pass up
+HICCUP = 0.03  # seconds by which the prompt of another request delays a pass
 STREAMS = 400
 MEAN_PAUSES = 40  # of a stream
 
@@ -58,7 +59,7 @@
         patience.take_pause(Pause(0.0, 0.16, looked=0.06, found=0.1, went_on=0.1))
     assert patience.estimate_return() == pytest.approx(0.1)
     assert patience.compute(make_pace([0.025] * 9), 0.2) == pytest.approx(0.1)
-    patience.take_pause(Pause(0.0, 5.0))  # nobody was asked to go on
+    patience.take_pause(Pause(0.0, 5.0))  # no server was asked to resume
     assert patience.estimate_return() == pytest.approx(0.1)
 
 
@@ -73,7 +74,7 @@
 
 
 def draw_reading(rng: random.Random) -> float:
-    """Draw a time by the shares, linear between them."""
+    """Draw a time from the distribution, with linear interpolation."""
     share = rng.random()
     for (low, least), (high, most) in itertools.pairwise(READING):
         if share <= high:
@@ -82,10 +83,10 @@
 
 
 def play_losses(*, objective: float | None, question: float, seed: int) -> tuple[float, float]:
-    """Lose a server under each of many streams; gives the share that pauses too long, and looks without a loss.
+    """Lose a server under each of many streams; return the share with too long a pause, and needless probes per stream.
 
-    Load pattern: events 25 ms apart, one pass in twenty held up by the prompt of another request, and a server that
-    goes dark at any moment.
+    Events are 25 ms apart, one pass in twenty is delayed by the prompt of another request, and a server stops
+    responding at a random moment.
     """
     rng = random.Random(seed)
     patience = Patience()
@@ -110,18 +111,19 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_streams_over_a_lost_server_go_on_in_time(seed: int) -> None:
-    """Pauses over 0.2 s: 21 to 24%, 74% by constants; the patience alone 38 to 40%, the question alone 43 to 44%.
+    """Pauses over 0.2 s are 21 to 24%, and 74% with fixed times.
 
-    Looks for nothing: 0.06 to 0.08 a stream, none by constants.
+    With only the time before the probe adapted they are 38 to 40%, with only the probe timeout adapted 43 to 44%.
+    Needless probes are 0.06 to 0.08 per stream, and none with fixed times.
     """
     late, looks = play_losses(objective=0.2, question=QUESTION, seed=seed)
     late_without, _ = play_losses(objective=None, question=LONGEST_QUESTION, seed=seed)
-    assert late < late_without / 3  # the aim: 15 of 46 streams
+    assert late < late_without / 3  # the aim is 15 of 46 streams
     assert looks < 2 * FALSE_SHARE * MEAN_PAUSES
 
 
 def test_silences_that_mean_nothing_become_ordinary() -> None:
-    """One pass in ten is held up for 50 ms: the patience grows until few of them are looked into."""
+    """When one pass in ten is delayed by 50 ms, the time before a probe grows until few of these are probed."""
     patience = Patience()
     rng = random.Random(1)
     looks = []
--- a/tests/core/traffic/test_ratelimits.py
+++ b/tests/core/traffic/test_ratelimits.py
@@ -1,4 +1,4 @@
-"""Permits for a server with a rate limit: all nodes together stay within it, whoever comes, leaves or knows it late."""
+"""Permits keep all nodes together within the rate limit of a server, also while nodes join, leave or learn it late."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from vaneturn_core.traffic.servers import ServerId
 
 SERVER = ServerId("i-1")
-WINDOW = 4.0  # seconds in which a server counts
+WINDOW = 4.0  # seconds; window in which a server counts requests
 MAX_WAIT = 5.0  # seconds after which a node asks again
 STEP = 0.025  # seconds
 NEWS_TIME = 1.5  # seconds until all nodes know of a change, at most
@@ -35,7 +35,7 @@
 
 
 class Fleet:
-    """Nodes that ask each other for permits; each hears of a change at another time."""
+    """Nodes that ask each other for permits; each learns of a change at a different time."""
 
     def __init__(self, count: int, rng: random.Random) -> None:
         self.now, self.rng = 0.0, rng
@@ -55,7 +55,7 @@
         self.most = 0
 
     def change(self, vm: VmId) -> None:
-        """Let a node come, or go when it is there; the others hear of it by and by."""
+        """Remove a node if it is a member, else add it; the others learn of the change with different delays."""
         if vm in self.members:
             self.members.remove(vm)
         else:
@@ -66,9 +66,9 @@
         self.news += [(self.now + self.rng.uniform(0.0, NEWS_TIME), one, known) for one in sorted(known)]
 
     def play(self, seconds: float, rate: float, demand: float) -> None:
-        """Let requests come, some nodes getting most of them, and count what the server gets.
+        """Simulate requests, most of them on a few nodes, and count those that the server gets.
 
-        :param demand: requests a second of all nodes together, all for the one server.
+        :param demand: requests per second of all nodes together, all for the same server.
         """
         until = self.now + seconds
         while self.now < until:
@@ -149,7 +149,7 @@
 
 
 def test_nodes_without_a_permit_return_one_after_the_other() -> None:
-    """All of them came back for the same permit."""
+    """Otherwise all of them come back for the same permit."""
     issuer = make_settled_issuer()
     assert [issuer.issue(SERVER, 10.0) for _ in range(4)] == [0, *(pytest.approx(number / 10) for number in (1, 2, 3))]
 
--- a/tests/core/traffic/test_relays.py
+++ b/tests/core/traffic/test_relays.py
@@ -1,4 +1,4 @@
-"""Which nodes ask the store for the others: the same ones in every node's eyes, never only one, and in turn."""
+"""All nodes select the same relays, more than one of them, and rank them in the same way."""
 
 from __future__ import annotations
 
--- a/tests/core/traffic/test_retries.py
+++ b/tests/core/traffic/test_retries.py
@@ -1,4 +1,4 @@
-"""The shared retry budget: all nodes together stay within it."""
+"""All nodes together stay within the shared retry budget."""
 
 from __future__ import annotations
 
--- a/tests/core/traffic/test_servers.py
+++ b/tests/core/traffic/test_servers.py
@@ -1,4 +1,4 @@
-"""Beliefs about servers: rest after failures, within a cap, and the share of the load."""
+"""The status of servers: backoff after failures, rests that servers ask for, and the estimate of the load."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def test_full_server_rests_for_a_moment_and_a_lost_one_for_longer() -> None:
-    """Two full servers rested for up to 8 s and left no chain; both had room again within a second."""
+    """With the long backoff, two full servers left no chain for up to 8 s; both had capacity again within a second."""
     beliefs = ServerBeliefs()
     full, lost = beliefs[make_server(1, "l4").id], beliefs[make_server(2, "l4").id]
     full.record_token(100.0)
@@ -96,7 +96,7 @@
     servers = [make_server(number, "l4") for number in range(1, 4)]
     for server in servers:
         beliefs[server.id].take_rest(103.0)
-    assert len(beliefs.list_choosable(servers, [], 101.0)) == 3  # as later parts of chains
+    assert len(beliefs.list_choosable(servers, [], 101.0)) == 3  # for later parts of chains
     assert not any(beliefs[server.id].may_take_request(101.0) for server in servers)
 
 
--- a/tests/core/traffic/test_tilings.py
+++ b/tests/core/traffic/test_tilings.py
@@ -1,4 +1,4 @@
-"""Tilings of a large hall: none of them lies on the slow servers alone."""
+"""No tiling of a large hall uses slow servers only."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def part_tilings(placements: list[Placement]) -> list[list[Placement]]:
-    """Part placements where one begins at the first layer."""
+    """Split placements into tilings; each begins at the first layer."""
     tilings: list[list[Placement]] = []
     for placement in placements:
         if placement.layers.first == 0:
@@ -18,7 +18,7 @@
 
 
 def test_fast_servers_are_dealt_evenly_over_the_tilings_of_a_hall() -> None:
-    """Taken fastest first, the last tiling of a large hall lay on the slowest kind alone."""
+    """If each tiling takes the fastest servers left, the last one uses only the slowest kind."""
     fleet = [make_server(number, "a100") for number in range(1, 5)]
     fleet += [make_server(number, "l40s") for number in range(5, 15)]
     fleet += [make_server(number, "l4") for number in range(15, 26)]
--- a/tests/core/traffic/test_view.py
+++ b/tests/core/traffic/test_view.py
@@ -1,4 +1,4 @@
-"""The view of the platform: never older, entries that lapse in an outage, keys that become too old."""
+"""The view of the platform never gets older, keeps entries that lapse in an outage, and closes outdated keys."""
 
 from __future__ import annotations
 
@@ -64,12 +64,12 @@
     clock.now += LAPSE_HOLD - 0.01
     assert view.list_servers(LLM) == [server]
     clock.now += 0.02
-    assert not view.list_servers(LLM)  # also before anybody has expired it
+    assert not view.list_servers(LLM)  # even before expire_lapsed is called
     assert view.expire_lapsed() == [server.id]
 
 
 def test_entry_that_goes_well_after_the_return_did_not_lapse() -> None:
-    """A server that left 3.4 s after the store's return got work for 2.2 s more."""
+    """Otherwise a server that leaves 3.4 s after the end of an outage gets work for 2.2 s more."""
     clock = Clock()
     view = PlatformView(5.0, clock)
     server = make_server(1, "l4")
@@ -95,7 +95,7 @@
 
 
 def test_word_of_another_node_replaces_what_is_known_of_the_stores_troubles() -> None:
-    """The store turned this node away, and served the other one all the time: what goes there is gone at once."""
+    """The store refused this node but served the other one all the time, so a removed entry has not lapsed."""
     clock = Clock()
     view = PlatformView(5.0, clock)
     server = make_server(1, "l4")
@@ -107,7 +107,7 @@
 
 
 def test_trouble_of_another_node_alone_is_no_outage_of_the_store() -> None:
-    """A relay was cut off, the store was not: a server that left got work for 2.2 s more."""
+    """When only a relay is cut off from the store, a server that leaves must not get work for 2.2 s more."""
     clock = Clock()
     view = PlatformView(5.0, clock)
     server = make_server(1, "l4")
@@ -129,10 +129,10 @@
 
 
 def test_trouble_is_over_here_when_a_node_that_has_reached_the_store_again_tells() -> None:
-    """The last call of an outage ended at this node a second after the relay was back, and it asked the relay then.
+    """This node's last failed call ends a second after a relay has reached the store again; it then asks the relay.
 
-    It took itself to be in trouble for as long as it asked relays: entries that went 1.8 and 3.2 s later were "lapsed"
-    on five nodes of eight and "removed" on the others, and a server got work 2.06 s after it had left (2.0 s allowed).
+    Without a call of its own, it took the outage to continue: entries that were removed 1.8 and 3.2 s later counted as
+    lapsed on five nodes of eight, and a server got work 2.06 s after it had left, where 2.0 s are allowed.
     """
     clock = Clock()
     view = PlatformView(5.0, clock)
