--- a/tests/rig/ablation.py
+++ b/tests/rig/ablation.py
@@ -37,7 +37,7 @@
         "requests of many nodes that all choose the same chain by old word",
         (
             Edit(f"{CORE}/chains.py", "pick_firsts(self._node, self._hall, left)", "list(left)"),
-            Edit(f"{CORE}/chains.py", "return ways[:CANDIDATES]", "return ways"),
+            Edit(f"{CORE}/chains.py", "return paths[:MAX_CANDIDATES]", "return paths"),
         ),
     ),
     Mechanism(
@@ -48,7 +48,7 @@
     Mechanism(
         "places-of-first",
         "queues at the first server of a chain",
-        (Edit(f"{CORE}/chains.py", "if before.part is None and part.first == 0:", "if before is None:"),),
+        (Edit(f"{CORE}/chains.py", "if previous.part is None and part.first == 0:", "if previous is None:"),),
     ),
     Mechanism(
         "resting-servers",
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -271,13 +271,13 @@
         "tests/core/traffic/test_fleetload.py::test_requests_stay_with_few_first_servers_of_the_hall",
         (
             Edit(f"{CORE}/chains.py", "pick_firsts(self._node, self._hall, left)", "list(left)"),
-            Edit(f"{CORE}/chains.py", "return ways[:CANDIDATES]", "return ways"),
+            Edit(f"{CORE}/chains.py", "return paths[:MAX_CANDIDATES]", "return paths"),
         ),
     ),
     Proof(
         "only as many requests cross halls as the pipes carry",
         "tests/core/traffic/test_chains.py::test_chain_over_halls_is_for_as_many_requests_as_the_pipes_carry",
-        (Edit(f"{CORE}/chains.py", "if self._may_cross(over_halls):", "if over_halls is not None:"),),
+        (Edit(f"{CORE}/chains.py", "if self._may_cross(across_halls):", "if across_halls is not None:"),),
     ),
     Proof(
         "a loss that two nodes have found is told to all",
