--- a/packages/core/src/vaneturn_core/traffic/beliefs.py
+++ b/packages/core/src/vaneturn_core/traffic/beliefs.py
@@ -67,8 +67,8 @@
 
     def is_closed(self, now: float) -> bool:
         """Tell whether it is leaving, is at rest, or has a trial request pending after its rest."""
-        is_tried = self.is_returning and now < self.returned_at + RETURN_GAP
-        return self.is_leaving or now < self.rest_until or is_tried
+        is_trial_pending = self.is_returning and now < self.returned_at + RETURN_GAP
+        return self.is_leaving or now < self.rest_until or is_trial_pending
 
     def compute_wait(self, now: float) -> float:
         """Compute the seconds until it may get a request, unless it is leaving."""
@@ -190,21 +190,23 @@
         It compares the loads that first servers report with this node's own; without a recent report, all nodes are
         assumed to have the same load.
         """
-        told = own = 0
+        reported_total = own_total = 0
         for belief in self._beliefs.values():
             if belief.leading and now - belief.told_at < TOLD_AGE:
-                told += belief.told_load
-                own += belief.leading
-        if not own:
+                reported_total += belief.told_load
+                own_total += belief.leading
+        if not own_total:
             return float(nodes)
-        return min(max(1.0, told / own), MAX_SHARE * nodes)
+        return min(max(1.0, reported_total / own_total), MAX_SHARE * nodes)
 
     def forget_absent(self, present: Mapping[ServerId, BackendServer]) -> None:
         """Drop the status of servers that have left the list, unless they still have requests in progress."""
-        for server in [one for one, belief in self._beliefs.items() if one not in present and not belief.in_progress]:
+        for server in [
+            known for known, belief in self._beliefs.items() if known not in present and not belief.in_progress
+        ]:
             del self._beliefs[server]
 
-    def _is_out(self, server: ServerId) -> bool:
+    def _is_excluded(self, server: ServerId) -> bool:
         belief = self[server]
         return belief.is_replaced or belief.is_leaving
 
@@ -213,13 +215,13 @@
     ) -> list[BackendServer]:
         """List the servers that may get new work; if too many are backed off, these are included."""
         excluded = set(avoided)
-        able = [
+        eligible = [
             server
             for server in servers
-            if server.state is ServerState.READY and server.id not in excluded and not self._is_out(server.id)
+            if server.state is ServerState.READY and server.id not in excluded and not self._is_excluded(server.id)
         ]
-        awake = [server for server in able if self[server.id].resting_until <= now]
-        return awake if len(awake) >= MAX_RESTING_SHARE * len(able) else able
+        available = [server for server in eligible if self[server.id].resting_until <= now]
+        return available if len(available) >= MAX_RESTING_SHARE * len(eligible) else eligible
 
 
 __all__ = ["ServerBelief", "ServerBeliefs"]
--- a/packages/core/src/vaneturn_core/traffic/chain.py
+++ b/packages/core/src/vaneturn_core/traffic/chain.py
@@ -28,7 +28,7 @@
 
     def count_crossings(self) -> int:
         """Count the neighbouring parts that are in different halls."""
-        return sum(one.server.hall != other.server.hall for one, other in itertools.pairwise(self.parts))
+        return sum(part.server.hall != following.server.hall for part, following in itertools.pairwise(self.parts))
 
 
 def assert_chain(parts: Sequence[Part], layers: int) -> None:
--- a/packages/core/src/vaneturn_core/traffic/crashes.py
+++ b/packages/core/src/vaneturn_core/traffic/crashes.py
@@ -27,7 +27,7 @@
 PENDING_TIME: Final = 8.0  # seconds; the entry of a crashed server is removed after three missed heartbeats
 MAX_ENDS: Final = 64  # newest crashes that are kept; 8 servers crash together when part of a fleet of 50 does
 MAX_SUSPECTS: Final = 128  # per crash; a server that took over the streams of two others had 51
-KEPT_SOUND: Final = 1024  # newest requests that completed
+MAX_COMPLETED: Final = 1024  # newest requests that completed
 
 
 class Suspicion(IntEnum):
@@ -56,20 +56,20 @@
     def join(self, other: ServerEnd) -> bool:
         """Merge what another node has seen of the same crash; false when nothing was new."""
         self.at = min(self.at, other.at)
-        news = [self.suspect(content, suspicion) for content, suspicion in other.suspects.items()]
-        return any(news)
+        changes = [self.suspect(content, suspicion) for content, suspicion in other.suspects.items()]
+        return any(changes)
 
     def suspect(self, content: Content, suspicion: Suspicion) -> bool:
         """Record a suspicion against a request, or clear it; false when nothing changes."""
         known = self.suspects.get(content)
         if known is not None and known >= suspicion:
             return False
-        if known is None and len(self.suspects) >= MAX_SUSPECTS and not self._make_room(suspicion):
+        if known is None and len(self.suspects) >= MAX_SUSPECTS and not self._evict_weaker(suspicion):
             return False
         self.suspects[content] = suspicion
         return True
 
-    def _make_room(self, suspicion: Suspicion) -> bool:
+    def _evict_weaker(self, suspicion: Suspicion) -> bool:
         """Drop the request with the weakest suspicion; false when none is weaker than the given one."""
         least = min(self.suspects, key=lambda content: (self.suspects[content], content))
         if self.suspects[least] >= suspicion:
@@ -90,7 +90,9 @@
         self._list_software = list_software
         self._ends: dict[ServerId, ServerEnd] = {}
         self._pending: dict[ServerId, ServerEnd] = {}  # connections were lost, but a crash is not confirmed
-        self._sound: OrderedDict[tuple[Content, str], float] = OrderedDict()  # when they last completed on a version
+        self._completed: OrderedDict[tuple[Content, str], float] = (
+            OrderedDict()
+        )  # when they last completed on a version
         self._check: int | None = None  # computed on demand
         self.listeners: list[Callable[[], None]] = []  # called after each change
 
@@ -98,7 +100,9 @@
     def check(self) -> int:
         """Return a checksum of the known crashes; nodes that know the same crashes have the same checksum."""
         if self._check is None:
-            rows = sorted((server, *row) for server, end in self._ends.items() for row in end.suspects.items())
+            rows = sorted(
+                (server, *suspicion) for server, end in self._ends.items() for suspicion in end.suspects.items()
+            )
             self._check = zlib.crc32(repr(rows).encode())
         return self._check
 
@@ -127,14 +131,14 @@
 
     def note_lost(self, server: ServerId, software: str, content: Content, suspicion: Suspicion) -> None:
         """Record that the connection of a request was lost, before it is known whether the server has crashed."""
-        if self._is_sound(content, software):
+        if self._has_completed(content, software):
             return
         end = self._ends.get(server)
         if end is not None:
             self._note_change(is_new=end.suspect(content, suspicion))
             return
         now = self._clock()
-        self._pending = {one: end for one, end in self._pending.items() if end.at > now - PENDING_TIME}
+        self._pending = {lost_server: end for lost_server, end in self._pending.items() if end.at > now - PENDING_TIME}
         self._pending.setdefault(server, ServerEnd(now, software)).suspect(content, suspicion)
 
     def confirm(self, server: ServerId) -> bool:
@@ -154,10 +158,10 @@
         servers, and may be on both servers that another request crashes, as happened within 0.2 s.
         """
         key = content, software
-        self._sound[key] = self._clock()
-        self._sound.move_to_end(key)
-        if len(self._sound) > KEPT_SOUND:
-            self._sound.popitem(last=False)
+        self._completed[key] = self._clock()
+        self._completed.move_to_end(key)
+        if len(self._completed) > MAX_COMPLETED:
+            self._completed.popitem(last=False)
         suspected = [end for end in self._ends.values() if content in end.suspects and end.software == software]
         cleared = [end.suspect(content, Suspicion.CLEARED) for end in suspected]
         self._note_change(is_new=any(cleared))
@@ -175,7 +179,7 @@
             is_new |= known.join(end)
             if pending is not None:
                 is_new |= known.join(pending)
-            for content in [one for one in known.suspects if self._is_sound(one, known.software)]:
+            for content in [suspect for suspect in known.suspects if self._has_completed(suspect, known.software)]:
                 is_new |= known.suspect(content, Suspicion.CLEARED)
         self._forget(oldest)
         self._note_change(is_new=is_new)
@@ -186,8 +190,8 @@
         self._forget(self._clock() - KEPT_TIME)
         return dict(self._ends)
 
-    def _is_sound(self, content: Content, software: str) -> bool:
-        return self._sound.get((content, software), float("-inf")) >= self._clock() - KEPT_TIME
+    def _has_completed(self, content: Content, software: str) -> bool:
+        return self._completed.get((content, software), float("-inf")) >= self._clock() - KEPT_TIME
 
     def _forget(self, oldest: float) -> None:
         newest = sorted(self._ends, key=lambda server: self._ends[server].at, reverse=True)[:MAX_ENDS]
--- a/packages/core/src/vaneturn_core/traffic/crossings.py
+++ b/packages/core/src/vaneturn_core/traffic/crossings.py
@@ -10,18 +10,20 @@
 
 from typing import Final
 
-PIPE_SHARE: Final = 0.8  # of the links' time that new requests may use; the rest is for detours of requests under way
+MAX_LINK_SHARE: Final = (
+    0.8  # of the links' time that new requests may use; the rest is for detours of requests under way
+)
 
 
-def compute_crossing_share(rate: float, nodes: int, pipe_time: float) -> float:
+def compute_crossing_share(rate: float, nodes: int, link_time_s: float) -> float:
     """Compute the share of requests that may cross halls.
 
     :param rate: streams per second of this node; the other nodes are assumed to have the same rate.
     :param nodes: number of nodes that share the links.
-    :param pipe_time: seconds of link time that one request uses, over all its crossings.
+    :param link_time_s: seconds of link time that one request uses, over all its crossings.
     """
-    demand = rate * nodes * pipe_time
-    return 1.0 if demand <= PIPE_SHARE else PIPE_SHARE / demand
+    demand = rate * nodes * link_time_s
+    return 1.0 if demand <= MAX_LINK_SHARE else MAX_LINK_SHARE / demand
 
 
-__all__ = ["PIPE_SHARE", "compute_crossing_share"]
+__all__ = ["MAX_LINK_SHARE", "compute_crossing_share"]
--- a/packages/core/src/vaneturn_core/traffic/firsts.py
+++ b/packages/core/src/vaneturn_core/traffic/firsts.py
@@ -29,13 +29,13 @@
     :param firsts: servers that hold the first layer and may get new work.
     """
     ranked = sorted(firsts, key=lambda server: hash_text(f"{node} {server.id}"))
-    inside = _pick_one([server for server in ranked if server.hall == hall])
-    return inside + _pick_one([server for server in ranked if server not in inside])
+    inside = _pick_at_random([server for server in ranked if server.hall == hall])
+    return inside + _pick_at_random([server for server in ranked if server not in inside])
 
 
-def _pick_one(ranked: Sequence[BackendServer]) -> list[BackendServer]:
-    home = ranked[:HOME_FIRSTS]
-    return [random.choice(home)] if home else []
+def _pick_at_random(ranked: Sequence[BackendServer]) -> list[BackendServer]:
+    assigned = ranked[:HOME_FIRSTS]
+    return [random.choice(assigned)] if assigned else []
 
 
 __all__ = ["HOME_FIRSTS", "pick_firsts"]
--- a/packages/core/src/vaneturn_core/traffic/layout.py
+++ b/packages/core/src/vaneturn_core/traffic/layout.py
@@ -17,12 +17,12 @@
 from vaneturn_core.traffic.servers import BackendServer, LayerRange, ServerState
 from vaneturn_core.traffic.tilings import HallTiler, Placement
 
-WEAK_SHARE: Final = 0.35  # of the mean coverage; a server is moved to layers below this
+LOW_COVERAGE_SHARE: Final = 0.35  # of the mean coverage; a server is moved to layers below this
 # share of a first server's slots for which each part of a chain should have memory. With 0.67, six busy days on 38
 # servers scored 0.65; with 1.0 they scored 0.59, since more layers are on slow servers, and with 0.5 they scored 0.52,
 # since memory runs short
-ROOM_SHARE: Final = 0.67
-MOVE_GAIN: Final = 1.25  # least factor by which a move must improve the lowest coverage, since it costs a model load
+CAPACITY_SHARE: Final = 0.67
+MIN_MOVE_GAIN: Final = 1.25  # factor by which a move must improve the lowest coverage, since it costs a model load
 
 
 class LayoutPlanner:
@@ -30,16 +30,16 @@
 
     def __init__(self, engine: EngineProfile, servers: Iterable[BackendServer]) -> None:
         self._engine = engine
-        self._servers = [one for one in servers if one.state is ServerState.READY and one.kind in engine.kinds]
+        self._servers = [ready for ready in servers if ready.state is ServerState.READY and ready.kind in engine.kinds]
         self._halls: defaultdict[str, list[BackendServer]] = defaultdict(list)
         for server in self._servers:
             self._halls[server.hall].append(server)
         self._counts: dict[str, list[int]] = {}  # by data hall: number of holders of each layer
         self._sizes: dict[str, list[int]] = {}  # by data hall: size of the largest part that holds each layer
-        self._most_requests = ROOM_SHARE * engine.slots
+        self._most_requests = CAPACITY_SHARE * engine.slots
         self._memory = ServerMemory(engine)
         self._tiler = HallTiler(engine, self._memory, self._most_requests)
-        self._cover = [0.0] * engine.layers  # coverage of each layer: requests that all its holders have memory for
+        self._coverage = [0.0] * engine.layers  # coverage of each layer: requests that all its holders have memory for
         for server in self._servers:
             for layers in server.layers:
                 self._add(server, layers, 1)
@@ -55,10 +55,10 @@
             if len(empty) == len(servers):
                 placements += self._tile_hall(servers, number / len(self._halls))
                 continue
-            for server in sorted(empty, key=lambda one: (-self._memory.count_bytes(one), one.id)):
+            for server in sorted(empty, key=lambda candidate: (-self._memory.count_bytes(candidate), candidate.id)):
                 layers = self._find_gap(server, hall)
                 if layers is None and takes_spare:
-                    layers = self._find_spare(server)
+                    layers = self._find_second_copy(server)
                 if layers is None:
                     continue
                 self._add(server, layers, 1)
@@ -73,17 +73,17 @@
             if counts is None or not any(counts):
                 continue
             runs = _list_runs([count == 0 for count in counts])
-            placements += [placement for run in runs for placement in self._close_gap(servers, run)]
+            placements += [placement for run in runs for placement in self._divide_gap(servers, run)]
         return placements
 
     def plan_move(self) -> Placement | None:
         """Plan to move one server to layers with too little coverage; none while coverage is sufficient."""
-        mean = sum(self._cover) / len(self._cover)
-        weakest = min(self._cover)
-        if not mean or weakest >= WEAK_SHARE * mean:
+        mean = sum(self._coverage) / len(self._coverage)
+        weakest = min(self._coverage)
+        if not mean or weakest >= LOW_COVERAGE_SHARE * mean:
             return None
         best: Placement | None = None
-        best_cover = max(MOVE_GAIN * weakest, 1.0)
+        best_coverage = max(MIN_MOVE_GAIN * weakest, 1.0)
         for server in self._servers:
             if len(server.layers) != 1:
                 continue
@@ -91,21 +91,21 @@
             self._add(server, held, -1)
             layers = self._find_weakest(server)
             self._add(server, layers, 1)
-            cover = min(self._cover)
+            coverage = min(self._coverage)
             self._add(server, layers, -1)
             self._add(server, held, 1)
-            if layers != held and cover > best_cover:
-                best, best_cover = Placement(server, layers), cover
+            if layers != held and coverage > best_coverage:
+                best, best_coverage = Placement(server, layers), coverage
         return best
 
     def _tile_hall(self, servers: Iterable[BackendServer], shift: float) -> Iterator[Placement]:
         """Tile all layers as often as the memory allows; the servers left over hold second copies."""
-        placements, rest = self._tiler.tile(servers, shift)
+        placements, left_over = self._tiler.tile(servers, shift)
         for placement in placements:
             self._add(placement.server, placement.layers, 1)
             yield placement
-        for server in rest:
-            layers = self._find_spare(server)
+        for server in left_over:
+            layers = self._find_second_copy(server)
             self._add(server, layers, 1)
             yield Placement(server, layers)
 
@@ -123,7 +123,7 @@
             )
         return gap
 
-    def _close_gap(self, servers: Iterable[BackendServer], gap: LayerRange) -> list[Placement]:
+    def _divide_gap(self, servers: Iterable[BackendServer], gap: LayerRange) -> list[Placement]:
         """Divide a gap between the servers on both sides of it, in proportion to their free memory."""
         before = max(_list_beside(servers, gap, is_before=True), key=self._memory.count_free, default=None)
         after = max(_list_beside(servers, gap, is_before=False), key=self._memory.count_free, default=None)
@@ -144,10 +144,10 @@
         """Move servers whose layers have other holders in the hall into a gap; none if they cannot close all of it."""
         placements: list[Placement] = []
         first = gap.first
-        for server in sorted(servers, key=lambda one: (-self._memory.count_most_layers(one), one.id)):
+        for server in sorted(servers, key=lambda candidate: (-self._memory.count_most_layers(candidate), candidate.id)):
             if first >= gap.end:
                 break
-            if len(server.layers) != 1 or not self._is_doubled(server):
+            if len(server.layers) != 1 or not self._has_second_copies(server):
                 continue
             layers = LayerRange(first, min(gap.end, first + self._memory.count_most_layers(server)))
             self._add(server, server.layers[0], -1)
@@ -161,21 +161,21 @@
             self._add(placement.server, placement.server.layers[0], 1)
         return []
 
-    def _is_doubled(self, server: BackendServer) -> bool:
+    def _has_second_copies(self, server: BackendServer) -> bool:
         held = server.layers[0]
         return min(self._counts[server.hall][held.first : held.end]) > 1
 
-    def _find_spare(self, server: BackendServer) -> LayerRange:
+    def _find_second_copy(self, server: BackendServer) -> LayerRange:
         """Find layers for a spare server: those with few holders in its hall, then small parts, then low coverage."""
         counts = self._counts.setdefault(server.hall, [0] * self._engine.layers)
         sizes = self._sizes.setdefault(server.hall, [0] * self._engine.layers)
-        return self._find_least(server, counts, sizes, self._cover)
+        return self._find_lowest(server, counts, sizes, self._coverage)
 
     def _find_weakest(self, server: BackendServer) -> LayerRange:
         """Find the layers with the lowest coverage over all halls."""
-        return self._find_least(server, self._cover)
+        return self._find_lowest(server, self._coverage)
 
-    def _find_least(self, server: BackendServer, *figures: Sequence[float]) -> LayerRange:
+    def _find_lowest(self, server: BackendServer, *figures: Sequence[float]) -> LayerRange:
         """Find the layers with the lowest sum of the first figure; the next figures break ties."""
         size = max(1, min(self._memory.count_roomy_layers(server, self._most_requests), self._engine.layers))
         starts = range(self._engine.layers - size + 1)
@@ -189,7 +189,7 @@
         for layer in range(layers.first, min(layers.end, self._engine.layers)):
             counts[layer] += sign
             sizes[layer] = max(sizes[layer], len(layers))
-            self._cover[layer] += sign * requests
+            self._coverage[layer] += sign * requests
 
 
 def _list_beside(servers: Iterable[BackendServer], gap: LayerRange, *, is_before: bool) -> list[BackendServer]:
--- a/packages/core/src/vaneturn_core/traffic/loads.py
+++ b/packages/core/src/vaneturn_core/traffic/loads.py
@@ -26,17 +26,17 @@
         self._others: Loads = {}  # the sum over the other nodes
         self._others_until = float("-inf")
         self._summed_at = float("-inf")
-        self._is_changed = False  # a report arrived since the last sum
+        self._has_new_report = False  # a report arrived since the last sum
 
     def take_follower(self, vm: VmId, loads: Loads) -> None:
         """Record the load of a follower, a node that gets its changes from this relay."""
         self._followers[vm] = (self._clock(), loads)
-        self._note_word()
+        self._note_report()
 
     def take_relay(self, vm: VmId, loads: Loads) -> None:
         """Record the load of another relay and of its followers."""
         self._relays[vm] = (self._clock(), loads)
-        self._note_word()
+        self._note_report()
 
     def take_total(self, total: Loads, told: Loads) -> None:
         """Record the load of all nodes as given by a relay, less what this node had reported to it."""
@@ -44,7 +44,7 @@
         self._relays.clear()
         self._others = {server: _subtract(load, told.get(server)) for server, load in total.items()}
         self._others_until = self._clock() + LOAD_AGE
-        self._is_changed = False
+        self._has_new_report = False
 
     def sum_followers(self, own: Loads) -> Loads:
         """Sum the load of this node and of its followers."""
@@ -59,19 +59,19 @@
         now = self._clock()
         if now > self._others_until:
             return None
-        if self._is_changed and now - self._summed_at >= SUM_AGE:
+        if self._has_new_report and now - self._summed_at >= SUM_AGE:
             self._others = _sum([*self._list_fresh(self._followers), *self._list_fresh(self._relays)])
             self._summed_at = now
-            self._is_changed = False
-        return self._others.get(server, _NOTHING)
+            self._has_new_report = False
+        return self._others.get(server, _NO_LOAD)
 
-    def _note_word(self) -> None:
+    def _note_report(self) -> None:
         self._others_until = self._clock() + LOAD_AGE
-        self._is_changed = True
+        self._has_new_report = True
 
-    def _list_fresh(self, told: Mapping[VmId, tuple[float, Loads]]) -> list[Loads]:
+    def _list_fresh(self, reports: Mapping[VmId, tuple[float, Loads]]) -> list[Loads]:
         oldest = self._clock() - LOAD_AGE
-        return [loads for at, loads in told.values() if at >= oldest]
+        return [loads for at, loads in reports.values() if at >= oldest]
 
 
 def _sum(parts: Iterable[Loads]) -> Loads:
@@ -90,6 +90,6 @@
     return ServerLoad(max(0, load.leading - told.leading), max(0.0, load.reserved - told.reserved))
 
 
-_NOTHING: Final = ServerLoad(0, 0.0)
+_NO_LOAD: Final = ServerLoad(0, 0.0)
 
 __all__ = ["LOAD_AGE", "SUM_AGE", "LoadBoard", "Loads"]
--- a/packages/core/src/vaneturn_core/traffic/losses.py
+++ b/packages/core/src/vaneturn_core/traffic/losses.py
@@ -59,16 +59,19 @@
         joined = _join([own, *self._list_fresh(self._followers), *self._list_fresh(self._relays)])
         return {server: finding.second for server, finding in joined.items() if finding.second > now}
 
-    def _take(self, words: dict[VmId, tuple[float, Findings]], vm: VmId, findings: Findings, own: Findings) -> None:
-        before = self.list_confirmed(own)
-        words[vm] = (self._clock(), findings)
-        after = self.list_confirmed(own)
-        if any(until > before.get(server, 0.0) for server, until in after.items()) or before.keys() - after.keys():
+    def _take(self, reports: dict[VmId, tuple[float, Findings]], vm: VmId, findings: Findings, own: Findings) -> None:
+        confirmed_before = self.list_confirmed(own)
+        reports[vm] = (self._clock(), findings)
+        confirmed_after = self.list_confirmed(own)
+        if (
+            any(until > confirmed_before.get(server, 0.0) for server, until in confirmed_after.items())
+            or confirmed_before.keys() - confirmed_after.keys()
+        ):
             self.version += 1
 
-    def _list_fresh(self, words: Mapping[VmId, tuple[float, Findings]]) -> list[Findings]:
+    def _list_fresh(self, reports: Mapping[VmId, tuple[float, Findings]]) -> list[Findings]:
         oldest = self._clock() - WORD_AGE
-        return [findings for at, findings in words.values() if at >= oldest]
+        return [findings for at, findings in reports.values() if at >= oldest]
 
 
 def _join(parts: Iterable[Findings]) -> dict[ServerId, Finding]:
--- a/packages/core/src/vaneturn_core/traffic/memory.py
+++ b/packages/core/src/vaneturn_core/traffic/memory.py
@@ -27,8 +27,8 @@
 
     def count_roomy_layers(self, server: BackendServer, requests: float) -> int:
         """Count how many layers a server may hold and still have memory for a number of requests."""
-        roomy = self.count_bytes(server) / (self._engine.layer_bytes + requests * self._request_bytes)
-        return min(int(roomy), self.count_most_layers(server))
+        layers = self.count_bytes(server) / (self._engine.layer_bytes + requests * self._request_bytes)
+        return min(int(layers), self.count_most_layers(server))
 
     def count_free(self, server: BackendServer) -> int:
         """Count how many more layers a server may hold."""
--- a/packages/core/src/vaneturn_core/traffic/ratelimits.py
+++ b/packages/core/src/vaneturn_core/traffic/ratelimits.py
@@ -69,8 +69,8 @@
             if rate is not None:
                 self._limits[server] = RateLimit(rate, now, now)
             return
-        is_lower = rate is not None and (known.rate is None or rate <= known.rate)
-        if is_lower or sent_at > known.at:
+        is_limit_lower = rate is not None and (known.rate is None or rate <= known.rate)
+        if is_limit_lower or sent_at > known.at:
             self._limits[server] = RateLimit(rate, now, known.since if rate == known.rate else now)
 
     def take_told(self, server: ServerId, rate: float | None, at: float, now: float) -> RateLimit:
@@ -87,7 +87,7 @@
 
     def forget_absent(self, present: Collection[ServerId]) -> None:
         """Forget the servers that have left the list."""
-        for server in [one for one in self._limits if one not in present]:
+        for server in [known for known in self._limits if known not in present]:
             del self._limits[server]
 
 
@@ -131,8 +131,8 @@
         if not share:
             return ASK_ANOTHER
         now, interval = self._clock(), 1 / (rate * share)
-        saved = (BURST - 1) * interval if share == WHOLE else 0.0
-        next_at = max(self._next_at.get(server, now), now - saved)
+        burst_credit = (BURST - 1) * interval if share == WHOLE else 0.0
+        next_at = max(self._next_at.get(server, now), now - burst_credit)
         if next_at > now:
             wait = next_at - now + self._refused[server] * interval  # spreads the nodes that ask again
             self._refused[server] += 1
--- a/packages/core/src/vaneturn_core/traffic/tilings.py
+++ b/packages/core/src/vaneturn_core/traffic/tilings.py
@@ -11,8 +11,8 @@
 from vaneturn_core.traffic.memory import ServerMemory
 from vaneturn_core.traffic.servers import BackendServer, LayerRange
 
-LESS_ROOM: Final = 0.85  # of the wanted capacity; accepted if it saves a server, which would cost each token 0.8 ms
-ROOM_STEPS: Final = 12  # bisection steps for the capacity of a chain: precise to a fortieth of a request at 96
+REDUCED_CAPACITY_SHARE: Final = 0.85  # accepted if it saves a chain its last server, which costs each token 0.8 ms
+CAPACITY_STEPS: Final = 12  # bisection steps for the capacity of a chain: precise to a fortieth of a request at 96
 TILING_SHIFT: Final = 0.5  # of the layers; offset between the fastest servers of successive tilings of a hall
 
 
@@ -41,29 +41,29 @@
 
         :param shift: share of the layers before the fastest server of the first tiling.
         """
-        requests = self._find_room(servers)
-        roomy = sum(self._memory.count_roomy_layers(server, requests) for server in servers)
+        requests = self._find_capacity(servers)
+        total_layers = sum(self._memory.count_roomy_layers(server, requests) for server in servers)
         placements: list[Placement] = []
         left_over: list[BackendServer] = []
-        for group in self._deal(servers, max(1, roomy // self._engine.layers)):
-            fastest_first = sorted(group, key=lambda one: (self._estimate_layer_time(one, requests), one.id))
+        for group in self._divide(servers, max(1, total_layers // self._engine.layers)):
+            fastest_first = sorted(group, key=lambda member: (self._estimate_layer_time(member, requests), member.id))
             parts = self._take_tiling(fastest_first, requests)
-            shorter = self._take_tiling(fastest_first, LESS_ROOM * requests)
+            shorter = self._take_tiling(fastest_first, REDUCED_CAPACITY_SHARE * requests)
             parts = shorter if len(shorter) < len(parts) else parts
             placements += _lay_out(parts, int(shift * self._engine.layers))
             left_over += fastest_first[len(parts) :]
             shift = (shift + TILING_SHIFT) % 1
         return placements, left_over
 
-    def _deal(self, servers: Iterable[BackendServer], groups: int) -> list[list[BackendServer]]:
+    def _divide(self, servers: Iterable[BackendServer], groups: int) -> list[list[BackendServer]]:
         """Divide servers into groups with about the same memory and kinds, one for each tiling."""
-        dealt: list[list[BackendServer]] = [[] for _ in range(groups)]
+        members: list[list[BackendServer]] = [[] for _ in range(groups)]
         filled = [0.0] * groups
-        for server in sorted(servers, key=lambda one: (-self._memory.count_bytes(one), one.id)):
-            index = min(range(groups), key=lambda one: filled[one])
-            dealt[index].append(server)
+        for server in sorted(servers, key=lambda candidate: (-self._memory.count_bytes(candidate), candidate.id)):
+            index = min(range(groups), key=lambda group: filled[group])
+            members[index].append(server)
             filled[index] += self._memory.count_bytes(server)
-        return dealt
+        return members
 
     def _take_tiling(self, servers: Sequence[BackendServer], requests: float) -> list[tuple[BackendServer, int]]:
         """Take servers in order until they hold all layers, each with its number of layers; empty if they cannot."""
@@ -77,18 +77,18 @@
                 return parts
         return []
 
-    def _find_room(self, servers: Iterable[BackendServer]) -> float:
+    def _find_capacity(self, servers: Iterable[BackendServer]) -> float:
         """Find how many requests a chain of the hall can have memory for, up to the wanted number."""
-        least, most = 0.0, self._most_requests
-        if self._can_tile(servers, most):
-            return most
-        for _ in range(ROOM_STEPS):
-            middle = (least + most) / 2
+        low, high = 0.0, self._most_requests
+        if self._can_tile(servers, high):
+            return high
+        for _ in range(CAPACITY_STEPS):
+            middle = (low + high) / 2
             if self._can_tile(servers, middle):
-                least = middle
+                low = middle
             else:
-                most = middle
-        return least
+                high = middle
+        return low
 
     def _can_tile(self, servers: Iterable[BackendServer], requests: float) -> bool:
         return sum(self._memory.count_roomy_layers(server, requests) for server in servers) >= self._engine.layers
@@ -101,11 +101,11 @@
 
 def _lay_out(parts: Sequence[tuple[BackendServer, int]], before: int) -> Iterator[Placement]:
     """Assign parts to layers, rotated: the last parts come first until enough layers are before the first part."""
-    turn = len(parts)
-    while turn > 1 and sum(size for _, size in parts[turn:]) < before:
-        turn -= 1
+    rotation = len(parts)
+    while rotation > 1 and sum(size for _, size in parts[rotation:]) < before:
+        rotation -= 1
     first = 0
-    for server, size in [*parts[turn:], *parts[:turn]]:
+    for server, size in [*parts[rotation:], *parts[:rotation]]:
         yield Placement(server, LayerRange(first, first + size))
         first += size
 
--- a/packages/core/src/vaneturn_core/traffic/view.py
+++ b/packages/core/src/vaneturn_core/traffic/view.py
@@ -153,7 +153,9 @@
         listed = {server.name: server for server in servers}
         self.has_servers = True
         removed = [
-            one.id for one in list(self.servers.values()) if one.name not in listed and self.remove_server(one.id)
+            previous.id
+            for previous in list(self.servers.values())
+            if previous.name not in listed and self.remove_server(previous.id)
         ]
         for server in listed.values():
             known = self.find_server(server.name)
@@ -164,10 +166,10 @@
     def expire_lapsed(self) -> list[ServerId]:
         """Remove the servers whose lapsed entries were not written again in time; return them."""
         now = self._clock()
-        over = [server for server, until in self._lapsed.items() if until <= now]
-        for server in over:
+        expired = [server for server, until in self._lapsed.items() if until <= now]
+        for server in expired:
             self.drop_server(server)
-        return over
+        return expired
 
     def list_software(self) -> set[str]:
         """List the software versions that servers run."""
--- a/tests/rig/ablation.py
+++ b/tests/rig/ablation.py
@@ -56,8 +56,8 @@
         (
             Edit(
                 f"{CORE}/beliefs.py",
-                "[server for server in able if self[server.id].resting_until <= now]",
-                "able",
+                "[server for server in eligible if self[server.id].resting_until <= now]",
+                "eligible",
             ),
         ),
     ),
@@ -136,7 +136,7 @@
         "doubled-parts",
         "the loss of a server whose layers nobody else in its hall holds",
         (
-            Edit(f"{CORE}/layout.py", "for server in rest:", "for server in rest[:0]:"),
+            Edit(f"{CORE}/layout.py", "for server in left_over:", "for server in left_over[:0]:"),
             Edit(f"{CORE}/layout.py", "if layers is None and takes_spare:", "if layers is None and not servers:"),
         ),
     ),
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -29,7 +29,13 @@
     Proof(
         "a server that asked for rest gets no request",
         f"{SYSTEM}/test_directives.py::test_server_that_asked_for_rest_gets_no_more_requests",
-        (Edit(f"{CORE}/beliefs.py", "return self.is_leaving or now < self.rest_until or is_tried", "return False"),),
+        (
+            Edit(
+                f"{CORE}/beliefs.py",
+                "return self.is_leaving or now < self.rest_until or is_trial_pending",
+                "return False",
+            ),
+        ),
     ),
     Proof(
         "a server that says it leaves gets no request",
@@ -50,7 +56,7 @@
     Proof(
         "a server is tried by one request at a time after its rest",
         "tests/core/traffic/test_servers.py::test_server_is_tried_by_one_request_at_a_time_after_its_rest",
-        (Edit(f"{CORE}/beliefs.py", "is_tried = self.is_returning and", "is_tried = False and"),),
+        (Edit(f"{CORE}/beliefs.py", "is_trial_pending = self.is_returning and", "is_trial_pending = False and"),),
     ),
     Proof(
         "nodes without a permit return one after the other",
@@ -70,7 +76,7 @@
     Proof(
         "an older answer does not raise a limit",
         "tests/core/traffic/test_ratelimits.py::test_answer_to_an_older_request_neither_raises_nor_ends_a_limit",
-        (Edit(f"{CORE}/ratelimits.py", "if is_lower or sent_at > known.at:", "if known:"),),
+        (Edit(f"{CORE}/ratelimits.py", "if is_limit_lower or sent_at > known.at:", "if known:"),),
     ),
     Proof(
         "entries that lapsed in an outage are held",
