--- a/packages/core/src/vaneturn_core/traffic/arrivals.py
+++ b/packages/core/src/vaneturn_core/traffic/arrivals.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Final
 
-WINDOW: Final = 10.0  # seconds; long, since a node of a large fleet gets only about one request in that time
+WINDOW_S: Final = 10.0  # long, since a node of a large fleet gets only about one request in that time
 
 
 class ArrivalRate:
@@ -22,10 +22,10 @@
 
     def compute(self) -> float:
         """Compute the requests per second."""
-        oldest = self._clock() - WINDOW
+        oldest = self._clock() - WINDOW_S
         while self._times and self._times[0] < oldest:
             self._times.popleft()
-        return len(self._times) / WINDOW
+        return len(self._times) / WINDOW_S
 
 
-__all__ = ["WINDOW", "ArrivalRate"]
+__all__ = ["WINDOW_S", "ArrivalRate"]
--- a/packages/core/src/vaneturn_core/traffic/beliefs.py
+++ b/packages/core/src/vaneturn_core/traffic/beliefs.py
@@ -8,23 +8,23 @@
 
 from vaneturn_core.traffic.servers import BackendServer, ServerId, ServerLoad, ServerState
 
-FIRST_REST: Final = 0.7  # seconds; backoff after a first failure: about the time that a process takes to restart
-MAX_REST: Final = 8.0  # seconds; a server that has ended leaves the list sooner
-REST_GROWTH: Final = 2.0  # factor for each consecutive failure
-FULL_REST: Final = 0.25  # seconds; backoff of a full server: some of its requests end in that time
-ALIVE_AGE: Final = 0.5  # seconds; a server that sent a token within this time and refuses is full, not lost
+FIRST_BACKOFF_S: Final = 0.7  # after a first failure; about the time that a process takes to restart
+MAX_BACKOFF_S: Final = 8.0  # a server that has ended leaves the list sooner
+BACKOFF_GROWTH: Final = 2.0  # factor for each consecutive failure
+FULL_BACKOFF_S: Final = 0.25  # after a refusal by a full server; some of its requests end in that time
+ALIVE_AGE_S: Final = 0.5  # a server that sent a token within this time and refuses is full, not lost
 # share of memory or places in use from which a refusal is taken as lack of capacity; below 1, since reported loads are
 # 1 to 2 s old
-LIKELY_FULL: Final = 0.6
-MEMORY_OF_FAILURES: Final = 12.0  # seconds; a failure after a longer gap counts as the first again
+LIKELY_FULL_SHARE: Final = 0.6
+FAILURE_MEMORY_S: Final = 12.0  # a failure after a longer gap counts as the first again
 LATENCY_WEIGHT: Final = 0.25  # of the newest answer in the moving average
 ERROR_WEIGHT: Final = 0.2  # of the newest answer in the moving error rate
-MAX_ERRORS: Final = 0.5  # error rate above which a server is backed off; healthy servers reach 14%
-SLOWNESS_MEMORY: Final = 4.0  # seconds for which a reported slowness is used
-TOLD_AGE: Final = 1.5  # seconds for which a load that a server reported is compared with this node's own
-MAX_SHARE: Final = 3.0  # times the equal share; limits the estimate, since a reported load may be TOLD_AGE old
-RETURN_GAP: Final = 0.3  # seconds between trial requests after a rest, until the server has accepted one
-MAX_RESTING_SHARE: Final = 0.5  # of the eligible servers; if more are backed off, backoffs are ignored
+MAX_ERROR_RATE: Final = 0.5  # error rate above which a server is backed off; healthy servers reach 14%
+MAX_SLOWNESS_AGE_S: Final = 4.0  # time for which a reported slowness is used
+MAX_LOAD_AGE_S: Final = 1.5  # time for which a load that a server reported is compared with this node's own
+MAX_LOAD_FACTOR: Final = 3.0  # times the equal share; needed since a reported load may be MAX_LOAD_AGE_S old
+TRIAL_INTERVAL_S: Final = 0.3  # time between trial requests after a rest, until the server has accepted one
+MAX_BACKOFF_SHARE: Final = 0.5  # of the eligible servers; if more are backed off, backoffs are ignored
 
 
 @dataclass(slots=True)
@@ -67,12 +67,12 @@
 
     def is_closed(self, now: float) -> bool:
         """Tell whether it is leaving, is at rest, or has a trial request pending after its rest."""
-        is_trial_pending = self.is_returning and now < self.returned_at + RETURN_GAP
+        is_trial_pending = self.is_returning and now < self.returned_at + TRIAL_INTERVAL_S
         return self.is_leaving or now < self.rest_until or is_trial_pending
 
     def compute_wait(self, now: float) -> float:
         """Compute the seconds until it may get a request, unless it is leaving."""
-        returns_at = self.returned_at + RETURN_GAP if self.is_returning else self.rest_until
+        returns_at = self.returned_at + TRIAL_INTERVAL_S if self.is_returning else self.rest_until
         return max(0.0, max(self.permit_at, self.rest_until, returns_at) - now)
 
     def claim_send(self, now: float) -> bool:
@@ -109,7 +109,7 @@
     def record_error(self, now: float) -> None:
         """Record an error answer of the server itself; a high error rate counts as a failure."""
         self.errors += ERROR_WEIGHT * (1 - self.errors)
-        if self.errors > MAX_ERRORS:
+        if self.errors > MAX_ERROR_RATE:
             self.errors = 0.0
             self.record_failure(now)
 
@@ -125,7 +125,7 @@
 
     def read_slowness(self, now: float) -> float:
         """Return its slowness; an old report is ignored, so that the server is used again."""
-        return self.slowness if now - self.slowness_at < SLOWNESS_MEMORY else 1.0
+        return self.slowness if now - self.slowness_at < MAX_SLOWNESS_AGE_S else 1.0
 
     def record_refusal(self, now: float, fullness: float = 0.0) -> None:
         """Record a refusal: a short backoff if the server is probably full, a failure otherwise.
@@ -135,23 +135,23 @@
 
         :param fullness: share of its memory or places in use, as reported by nodes.
         """
-        if now - self.heard_at > ALIVE_AGE and fullness < LIKELY_FULL:
+        if now - self.heard_at > ALIVE_AGE_S and fullness < LIKELY_FULL_SHARE:
             self.record_failure(now)
             return
-        self.full_until = max(self.full_until, now + FULL_REST)
+        self.full_until = max(self.full_until, now + FULL_BACKOFF_S)
 
     def take_told_loss(self, until: float, now: float) -> bool:
         """Adopt the backoff of other nodes; false when a token came just now or the backoff is no longer than known."""
-        if now - self.heard_at <= ALIVE_AGE or until <= self.resting_until:
+        if now - self.heard_at <= ALIVE_AGE_S or until <= self.resting_until:
             return False
         self.told_until = until
         return True
 
     def record_failure(self, now: float) -> float:
         """Record a failure and return the seconds of backoff."""
-        if now - self.failed_at > MEMORY_OF_FAILURES:
+        if now - self.failed_at > FAILURE_MEMORY_S:
             self.failures = 0
-        rest = min(MAX_REST, FIRST_REST * REST_GROWTH**self.failures)
+        rest = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * BACKOFF_GROWTH**self.failures)
         self.failures += 1
         self.failed_at = now
         self.found_until = now + rest
@@ -192,12 +192,12 @@
         """
         reported_total = own_total = 0
         for belief in self._beliefs.values():
-            if belief.leading and now - belief.told_at < TOLD_AGE:
+            if belief.leading and now - belief.told_at < MAX_LOAD_AGE_S:
                 reported_total += belief.told_load
                 own_total += belief.leading
         if not own_total:
             return float(nodes)
-        return min(max(1.0, reported_total / own_total), MAX_SHARE * nodes)
+        return min(max(1.0, reported_total / own_total), MAX_LOAD_FACTOR * nodes)
 
     def forget_absent(self, present: Mapping[ServerId, BackendServer]) -> None:
         """Drop the status of servers that have left the list, unless they still have requests in progress."""
@@ -221,7 +221,7 @@
             if server.state is ServerState.READY and server.id not in excluded and not self._is_excluded(server.id)
         ]
         available = [server for server in eligible if self[server.id].resting_until <= now]
-        return available if len(available) >= MAX_RESTING_SHARE * len(eligible) else eligible
+        return available if len(available) >= MAX_BACKOFF_SHARE * len(eligible) else eligible
 
 
 __all__ = ["ServerBelief", "ServerBeliefs"]
--- a/packages/core/src/vaneturn_core/traffic/chains.py
+++ b/packages/core/src/vaneturn_core/traffic/chains.py
@@ -13,7 +13,7 @@
 from vaneturn_core.traffic.chain import Chain
 from vaneturn_core.traffic.configuration import EngineProfile
 from vaneturn_core.traffic.crossings import compute_crossing_share
-from vaneturn_core.traffic.crowding import FULL_TIME, estimate_crowding
+from vaneturn_core.traffic.crowding import FULL_PENALTY_S, estimate_crowding
 from vaneturn_core.traffic.firsts import pick_firsts
 from vaneturn_core.traffic.layermap import Boundaries, HolderOptions, LayerMap, Option, Part, index_options
 from vaneturn_core.traffic.loads import LoadBoard
@@ -22,7 +22,7 @@
 GROWTH_WEIGHT: Final = 2.0  # of a server's step growth: a new request slows the others there by as much again
 LINK_WEIGHT: Final = 4.0  # of the time of a prompt on an inter-hall link: all who share the link wait as well
 OUTSIDE_HALLS: Final = ""  # hall of a request before its first server
-VERY_SLOW: Final = 2.5  # slowness from which the pauses of streams over a server are too long
+VERY_SLOW_FACTOR: Final = 2.5  # slowness from which the pauses of streams over a server are too long
 SLOW_PENALTY_S: Final = 0.3  # for a very slow server: above that of a crossing, below that of a full server
 MAX_PARTS: Final = 32  # per chain
 MAX_CANDIDATES: Final = 2  # chains that are compared
@@ -114,7 +114,7 @@
         loads = self._read_loads(eligible)
         firsts = self._list_firsts(loads)
         best = min(self._find_candidates(firsts, loads), key=lambda path: path.cost, default=None)
-        if best is None or best.cost >= FULL_TIME:  # other first servers may have capacity
+        if best is None or best.cost >= FULL_PENALTY_S:  # other first servers may have capacity
             best = self._find_best({server.id for server in firsts}, loads)
         return Chain(self._engine.layers, tuple(best.list_parts())) if best is not None else None
 
@@ -259,7 +259,7 @@
     def _estimate_time(self, option: Option, load: _Load) -> float:
         fill_share = (load.used + self.tokens * option.length) / option.room if option.room > 0 else 1.0
         crowding_s = estimate_crowding(fill_share)
-        slow_s = SLOW_PENALTY_S if load.slowness >= VERY_SLOW else 0.0
+        slow_s = SLOW_PENALTY_S if load.slowness >= VERY_SLOW_FACTOR else 0.0
         growth_s = GROWTH_WEIGHT * option.growth * load.used
         return load.slowness * (option.time + growth_s) + crowding_s + slow_s
 
@@ -280,4 +280,4 @@
     return len({part.server.address for part in parts}) == len(parts)
 
 
-__all__ = ["VERY_SLOW", "ChainChooser"]
+__all__ = ["VERY_SLOW_FACTOR", "ChainChooser"]
--- a/packages/core/src/vaneturn_core/traffic/crashes.py
+++ b/packages/core/src/vaneturn_core/traffic/crashes.py
@@ -17,15 +17,15 @@
 from vaneturn_core.traffic.contents import Content
 from vaneturn_core.traffic.servers import ServerId
 
-STARTING_TIME: Final = 1.0  # seconds after the first event; a request that runs for longer is not suspected of a crash
+STARTING_TIME_S: Final = 1.0  # after its first event; a request that runs for longer is not suspected
 BARRING_WEIGHT: Final = 6  # two crashes before the first event, or three crashes in all
 SURE_WEIGHT: Final = 9  # three crashes before the first event
 # seconds after the newest crash for which a request below SURE_WEIGHT is barred. It may run again then, since it may
 # have been on both servers by chance: in a fleet with three first servers, that was so for 1 of about 900 requests
-DOUBT_TIME: Final = 60.0
-KEPT_TIME: Final = 600.0  # seconds for which a crash counts
-PENDING_TIME: Final = 8.0  # seconds; the entry of a crashed server is removed after three missed heartbeats
-MAX_ENDS: Final = 64  # newest crashes that are kept; 8 servers crash together when part of a fleet of 50 does
+DOUBT_TIME_S: Final = 60.0
+MAX_CRASH_AGE_S: Final = 600.0  # time for which a crash counts
+MAX_PENDING_AGE_S: Final = 8.0  # the entry of a crashed server is removed after three missed heartbeats
+MAX_CRASHES: Final = 64  # newest crashes that are kept; 8 servers crash together when part of a fleet of 50 does
 MAX_SUSPECTS: Final = 128  # per crash; a server that took over the streams of two others had 51
 MAX_COMPLETED: Final = 1024  # newest requests that completed
 
@@ -33,7 +33,7 @@
 class Suspicion(IntEnum):
     """How a crash bears on a request that ran on the server; when nodes report different values, the largest counts."""
 
-    BEGUN = 1  # the request had produced events, for less than STARTING_TIME
+    BEGUN = 1  # the request had produced events, for less than STARTING_TIME_S
     UNHEARD = 2  # the request had produced none
     CLEARED = 3  # the request has completed since
 
@@ -115,7 +115,7 @@
         weight = sum(end.weigh(content) for end in ends)
         if weight < BARRING_WEIGHT:
             return False
-        if weight < SURE_WEIGHT and self._clock() > max(end.at for end in ends) + DOUBT_TIME:
+        if weight < SURE_WEIGHT and self._clock() > max(end.at for end in ends) + DOUBT_TIME_S:
             return False
         running = set(self._list_software())
         return any(end.software in running for end in ends)
@@ -138,7 +138,9 @@
             self._note_change(is_new=end.suspect(content, suspicion))
             return
         now = self._clock()
-        self._pending = {lost_server: end for lost_server, end in self._pending.items() if end.at > now - PENDING_TIME}
+        self._pending = {
+            lost_server: end for lost_server, end in self._pending.items() if end.at > now - MAX_PENDING_AGE_S
+        }
         self._pending.setdefault(server, ServerEnd(now, software)).suspect(content, suspicion)
 
     def confirm(self, server: ServerId) -> bool:
@@ -169,7 +171,7 @@
 
     def join(self, ends: Mapping[ServerId, ServerEnd]) -> bool:
         """Merge crashes that were confirmed here or by another node; false when nothing was new."""
-        oldest = self._clock() - KEPT_TIME
+        oldest = self._clock() - MAX_CRASH_AGE_S
         is_new = False
         for server, end in ends.items():
             if end.at < oldest:
@@ -187,14 +189,14 @@
 
     def list_ends(self) -> dict[ServerId, ServerEnd]:
         """Return the known crashes, for other nodes."""
-        self._forget(self._clock() - KEPT_TIME)
+        self._forget(self._clock() - MAX_CRASH_AGE_S)
         return dict(self._ends)
 
     def _has_completed(self, content: Content, software: str) -> bool:
-        return self._completed.get((content, software), float("-inf")) >= self._clock() - KEPT_TIME
+        return self._completed.get((content, software), float("-inf")) >= self._clock() - MAX_CRASH_AGE_S
 
     def _forget(self, oldest: float) -> None:
-        newest = sorted(self._ends, key=lambda server: self._ends[server].at, reverse=True)[:MAX_ENDS]
+        newest = sorted(self._ends, key=lambda server: self._ends[server].at, reverse=True)[:MAX_CRASHES]
         kept = {server: self._ends[server] for server in newest if self._ends[server].at >= oldest}
         if len(kept) < len(self._ends):
             self._ends = kept
@@ -208,4 +210,4 @@
             listener()
 
 
-__all__ = ["STARTING_TIME", "CrashBoard", "ServerEnd", "Suspicion"]
+__all__ = ["STARTING_TIME_S", "CrashBoard", "ServerEnd", "Suspicion"]
--- a/packages/core/src/vaneturn_core/traffic/crossings.py
+++ b/packages/core/src/vaneturn_core/traffic/crossings.py
@@ -10,9 +10,7 @@
 
 from typing import Final
 
-MAX_LINK_SHARE: Final = (
-    0.8  # of the links' time that new requests may use; the rest is for detours of requests under way
-)
+MAX_LINK_SHARE: Final = 0.8  # of the links' time, for new requests; the rest is for detours of requests under way
 
 
 def compute_crossing_share(rate: float, nodes: int, link_time_s: float) -> float:
--- a/packages/core/src/vaneturn_core/traffic/firsts.py
+++ b/packages/core/src/vaneturn_core/traffic/firsts.py
@@ -20,7 +20,7 @@
 # servers assigned to a node in its own hall, and as many in all halls. In a model of 195 nodes and 190 servers, 58% of
 # requests come within 6 s of another one from the same node on the same first server, and 63% stay in the hall; with
 # two servers drawn from all, these are 11% and 23%. The busiest first server gets 1.7 times the mean
-HOME_FIRSTS: Final = 2
+ASSIGNED_FIRSTS: Final = 2
 
 
 def pick_firsts(node: VmId, hall: DataHall, firsts: Sequence[BackendServer]) -> list[BackendServer]:
@@ -34,8 +34,8 @@
 
 
 def _pick_at_random(ranked: Sequence[BackendServer]) -> list[BackendServer]:
-    assigned = ranked[:HOME_FIRSTS]
+    assigned = ranked[:ASSIGNED_FIRSTS]
     return [random.choice(assigned)] if assigned else []
 
 
-__all__ = ["HOME_FIRSTS", "pick_firsts"]
+__all__ = ["ASSIGNED_FIRSTS", "pick_firsts"]
--- a/packages/core/src/vaneturn_core/traffic/hearing.py
+++ b/packages/core/src/vaneturn_core/traffic/hearing.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Sequence
 from typing import Final
 
-PROMPT: Final = 0.02  # seconds for the answer to a probe on a free link; healthy servers answer in 2 to 4 ms
-SLOWEST_ANSWERS: Final = 4.0  # times the slowest answer of the same round that the other answers may take
+PROMPT_ANSWER_S: Final = 0.02  # for the answer to a probe on a free link; healthy servers answer in 2 to 4 ms
+SLOWEST_ANSWER_FACTOR: Final = 4.0  # of the slowest answer in a round; the limit for the other answers
 
 
 def compute_sign_time(asked: int, answers: Sequence[float]) -> float | None:
@@ -30,7 +30,7 @@
 
 def compute_answer_limit(slowest: float) -> float:
     """Compute the seconds that an answer may take, from the slowest of the others."""
-    return max(PROMPT, SLOWEST_ANSWERS * slowest)
+    return max(PROMPT_ANSWER_S, SLOWEST_ANSWER_FACTOR * slowest)
 
 
 class Hearing:
@@ -42,7 +42,7 @@
 
     def record_answer(self, asked_at: float) -> None:
         """Record an answer that arrives now, to a probe that was sent at a monotonic time."""
-        if self._clock() - asked_at <= PROMPT:
+        if self._clock() - asked_at <= PROMPT_ANSWER_S:
             self._asked_at = max(self._asked_at, asked_at)
 
     def has_heard_since(self, at: float) -> bool:
@@ -50,4 +50,4 @@
         return self._asked_at >= at
 
 
-__all__ = ["PROMPT", "Hearing", "compute_answer_limit", "compute_sign_time"]
+__all__ = ["PROMPT_ANSWER_S", "Hearing", "compute_answer_limit", "compute_sign_time"]
--- a/packages/core/src/vaneturn_core/traffic/layermap.py
+++ b/packages/core/src/vaneturn_core/traffic/layermap.py
@@ -10,7 +10,7 @@
 from vaneturn_core.traffic.configuration import EngineProfile
 from vaneturn_core.traffic.servers import BackendServer
 
-HOP_TIME: Final = 0.0008  # seconds that a token waits at each server for the current pass, from published step times
+HOP_TIME_S: Final = 0.0008  # wait of a token at each server for the current pass, from published step times
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,7 +89,7 @@
                 Option(
                     Part(server, boundary, stop),
                     room,
-                    step * (stop - boundary) + HOP_TIME,
+                    step * (stop - boundary) + HOP_TIME_S,
                     growth * (stop - boundary),
                 )
                 for stop in (*stops, last)
@@ -97,4 +97,4 @@
     return options
 
 
-__all__ = ["HOP_TIME", "Boundaries", "HolderOptions", "LayerMap", "Option", "Part", "index_options"]
+__all__ = ["HOP_TIME_S", "Boundaries", "HolderOptions", "LayerMap", "Option", "Part", "index_options"]
--- a/packages/core/src/vaneturn_core/traffic/layout.py
+++ b/packages/core/src/vaneturn_core/traffic/layout.py
@@ -22,7 +22,7 @@
 # servers scored 0.65; with 1.0 they scored 0.59, since more layers are on slow servers, and with 0.5 they scored 0.52,
 # since memory runs short
 CAPACITY_SHARE: Final = 0.67
-MIN_MOVE_GAIN: Final = 1.25  # factor by which a move must improve the lowest coverage, since it costs a model load
+MIN_MOVE_GAIN: Final = 1.25  # by which a move must improve the lowest coverage, since it costs a model load
 
 
 class LayoutPlanner:
--- a/packages/core/src/vaneturn_core/traffic/loads.py
+++ b/packages/core/src/vaneturn_core/traffic/loads.py
@@ -9,8 +9,8 @@
 from vaneturn_core.identifiers import VmId
 from vaneturn_core.traffic.servers import ServerId, ServerLoad
 
-SUM_AGE: Final = 0.1  # seconds for which a sum is reused: a relay gets 50 reports per second, a sum takes about 1 ms
-LOAD_AGE: Final = 3.0  # seconds for which a report counts; nodes report their load about once per second
+MAX_SUM_AGE_S: Final = 0.1  # for reuse of a sum: a relay gets 50 reports per second, a sum takes about 1 ms
+MAX_REPORT_AGE_S: Final = 3.0  # time for which a report counts; nodes report their load about once per second
 
 
 Loads = Mapping[ServerId, ServerLoad]
@@ -43,7 +43,7 @@
         self._followers.clear()
         self._relays.clear()
         self._others = {server: _subtract(load, told.get(server)) for server, load in total.items()}
-        self._others_until = self._clock() + LOAD_AGE
+        self._others_until = self._clock() + MAX_REPORT_AGE_S
         self._has_new_report = False
 
     def sum_followers(self, own: Loads) -> Loads:
@@ -59,18 +59,18 @@
         now = self._clock()
         if now > self._others_until:
             return None
-        if self._has_new_report and now - self._summed_at >= SUM_AGE:
+        if self._has_new_report and now - self._summed_at >= MAX_SUM_AGE_S:
             self._others = _sum([*self._list_fresh(self._followers), *self._list_fresh(self._relays)])
             self._summed_at = now
             self._has_new_report = False
         return self._others.get(server, _NO_LOAD)
 
     def _note_report(self) -> None:
-        self._others_until = self._clock() + LOAD_AGE
+        self._others_until = self._clock() + MAX_REPORT_AGE_S
         self._has_new_report = True
 
     def _list_fresh(self, reports: Mapping[VmId, tuple[float, Loads]]) -> list[Loads]:
-        oldest = self._clock() - LOAD_AGE
+        oldest = self._clock() - MAX_REPORT_AGE_S
         return [loads for at, loads in reports.values() if at >= oldest]
 
 
@@ -92,4 +92,4 @@
 
 _NO_LOAD: Final = ServerLoad(0, 0.0)
 
-__all__ = ["LOAD_AGE", "SUM_AGE", "LoadBoard", "Loads"]
+__all__ = ["MAX_REPORT_AGE_S", "MAX_SUM_AGE_S", "LoadBoard", "Loads"]
--- a/packages/core/src/vaneturn_core/traffic/losses.py
+++ b/packages/core/src/vaneturn_core/traffic/losses.py
@@ -14,7 +14,7 @@
 from vaneturn_core.identifiers import VmId
 from vaneturn_core.traffic.servers import ServerId
 
-WORD_AGE: Final = 2.0  # seconds for which the report of a node counts; it reports again when it finds more
+MAX_REPORT_AGE_S: Final = 2.0  # time for which the report of a node counts; it reports again when it finds more
 
 
 class Finding(NamedTuple):
@@ -70,7 +70,7 @@
             self.version += 1
 
     def _list_fresh(self, reports: Mapping[VmId, tuple[float, Findings]]) -> list[Findings]:
-        oldest = self._clock() - WORD_AGE
+        oldest = self._clock() - MAX_REPORT_AGE_S
         return [findings for at, findings in reports.values() if at >= oldest]
 
 
--- a/packages/core/src/vaneturn_core/traffic/outage.py
+++ b/packages/core/src/vaneturn_core/traffic/outage.py
@@ -12,15 +12,15 @@
 import random
 from typing import Final
 
-RETRY: Final = 0.1  # seconds; with full jitter, doubled after each consecutive failure
-MAX_RETRY: Final = 0.8  # seconds; refused calls are charged for, and a few seconds of delay after an outage are allowed
-NODE_SHARE: Final = 0.05  # seconds of delay per node, so that all nodes together make 20 calls per second
-RELAY_RETRY: Final = 0.3  # seconds until a relay that is out of touch is asked again: it answers immediately
+RETRY_DELAY_S: Final = 0.1  # with full jitter, doubled after each consecutive failure
+MAX_RETRY_DELAY_S: Final = 0.8  # refused calls are charged for, and nodes may take a few seconds after an outage
+DELAY_PER_NODE_S: Final = 0.05  # so that all nodes together make 20 calls per second
+RELAY_RETRY_DELAY_S: Final = 0.3  # time until a relay that is out of touch is asked again: it answers immediately
 
 
 def draw_retry(failures: int) -> float:
     """Draw the seconds until a node retries, from the number of consecutive failures."""
-    return random.uniform(0, min(MAX_RETRY, RETRY * 2**failures))
+    return random.uniform(0, min(MAX_RETRY_DELAY_S, RETRY_DELAY_S * 2**failures))
 
 
 def draw_direct_retry(nodes: int, shortest_bound: float) -> float:
@@ -30,8 +30,8 @@
     :param shortest_bound: seconds from a change in the store to the last request that may ignore it; a relay that stays
         out of touch when the store is back must not delay a node for longer.
     """
-    longest = min(shortest_bound, max(MAX_RETRY, NODE_SHARE * nodes))
+    longest = min(shortest_bound, max(MAX_RETRY_DELAY_S, DELAY_PER_NODE_S * nodes))
     return random.uniform(longest / 2, longest)
 
 
-__all__ = ["MAX_RETRY", "RELAY_RETRY", "draw_direct_retry", "draw_retry"]
+__all__ = ["MAX_RETRY_DELAY_S", "RELAY_RETRY_DELAY_S", "draw_direct_retry", "draw_retry"]
--- a/packages/core/src/vaneturn_core/traffic/pace.py
+++ b/packages/core/src/vaneturn_core/traffic/pace.py
@@ -8,9 +8,9 @@
 from msgspec import Struct
 
 MEAN_WEIGHT: Final = 0.2  # of the newest pause in the moving average
-SPREAD_WEIGHT: Final = 0.2  # of the newest deviation from it
-SPREADS: Final = 4.0  # deviations above the mean that count as normal, as in TCP's retransmission timer
-FEWEST_PAUSES: Final = 3  # of an answer before a normal pause can be estimated
+DEVIATION_WEIGHT: Final = 0.2  # of the newest deviation from it
+MAX_DEVIATIONS: Final = 4.0  # deviations above the mean that count as normal, as in TCP's retransmission timer
+MIN_PAUSES: Final = 3  # of an answer before a normal pause can be estimated
 
 
 class Stage(Enum):
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         self.usual = 0.0  # seconds; moving average of the pauses
         self.longest = Pause(0.0, 0.0)
-        self._spread = 0.0  # seconds; moving average of the deviation from it
+        self._deviation = 0.0  # seconds; moving average of the deviation from it
         self._pauses = 0
         self._newest: float | None = None  # monotonic time of the newest event
         self._stages: dict[Stage, float] = {}
@@ -67,16 +67,16 @@
     def _learn(self, length: float) -> None:
         self._pauses += 1
         if self._pauses == 1:
-            self.usual, self._spread = length, length / 2
+            self.usual, self._deviation = length, length / 2
             return
-        self._spread += SPREAD_WEIGHT * (abs(length - self.usual) - self._spread)
+        self._deviation += DEVIATION_WEIGHT * (abs(length - self.usual) - self._deviation)
         self.usual += MEAN_WEIGHT * (length - self.usual)
 
     def explain(self) -> float | None:
         """Return the longest normal pause in seconds, judging by the pauses so far; none while there are too few."""
-        if self._pauses < FEWEST_PAUSES:
+        if self._pauses < MIN_PAUSES:
             return None
-        return self.usual + SPREADS * self._spread
+        return self.usual + MAX_DEVIATIONS * self._deviation
 
 
 __all__ = ["Pause", "Stage", "StreamPace"]
--- a/packages/core/src/vaneturn_core/traffic/patience.py
+++ b/packages/core/src/vaneturn_core/traffic/patience.py
@@ -14,29 +14,29 @@
 
 from vaneturn_core.traffic.pace import Pause, StreamPace
 
-LONGEST: Final = 0.1  # seconds, at the usual pace and whatever the caller accepts: a loss shows in less
-LONGEST_PAUSES: Final = 2.5  # the same in usual pauses of the answer, since slow chains pause for longer
-SHORTEST: Final = 0.04  # seconds; an earlier probe of a chain finds only servers that are busy with a pass
-KEPT_RETURNS: Final = 32  # newest resume times that are kept, over all answers of a node
-FEWEST_RETURNS: Final = 4  # with fewer, ASSUMED_RETURN is used
+MAX_SILENCE_S: Final = 0.1  # at the usual pace and whatever the caller accepts: a loss shows in less
+MAX_SILENCE_PAUSES: Final = 2.5  # the same in usual pauses of the answer, since slow chains pause for longer
+MIN_SILENCE_S: Final = 0.04  # an earlier probe of a chain finds only servers that are busy with a pass
+MAX_RESUME_TIMES: Final = 32  # newest resume times that are kept, over all answers of a node
+MIN_RESUME_TIMES: Final = 4  # with fewer, ASSUMED_RESUME_S is used
 # seconds; 9 in 10 of 345 resumes on 64 nodes took no longer, and a single node sees too few to learn this soon. It
 # consists of a probe of 0.03 s, reading the prompt together with those of the other streams over the lost server, and
 # producing an event
-ASSUMED_RETURN: Final = 0.17
-RETURN_SHARE: Final = 0.9  # share of resumes that should fit into the time left for them
-FIRST_ORDINARY: Final = 0.06  # seconds; initial estimate of the longest ordinary pause
+ASSUMED_RESUME_S: Final = 0.17
+RESUME_QUANTILE: Final = 0.9  # share of resumes that should fit into the time left for them
+FIRST_ORDINARY_PAUSE_S: Final = 0.06  # initial estimate of the longest ordinary pause
 # share of the pauses without a loss that may cause a probe, since each probe goes to the whole chain and costs a server
 # 5.5 ms. By the pace of single answers alone, a day had 3,950 probes in place of 189
-FALSE_SHARE: Final = 0.003
-LEARNING_STEP: Final = 0.003  # seconds; scales how far a longer pause raises the estimate and a shorter one lowers it
+NEEDLESS_PROBE_SHARE: Final = 0.003
+LEARNING_STEP_S: Final = 0.003  # scales how far a longer pause raises the estimate and a shorter one lowers it
 
 
 class Patience:
     """Computes when to probe; one instance per node, which learns from all of its answers."""
 
     def __init__(self) -> None:
-        self._returns: deque[float] = deque(maxlen=KEPT_RETURNS)
-        self._ordinary = FIRST_ORDINARY  # seconds; nearly all pauses without a loss are shorter
+        self._returns: deque[float] = deque(maxlen=MAX_RESUME_TIMES)
+        self._ordinary = FIRST_ORDINARY_PAUSE_S  # seconds; nearly all pauses without a loss are shorter
 
     def take_pause(self, pause: Pause) -> None:
         """Learn the time to resume an answer, and the length of ordinary pauses."""
@@ -44,24 +44,31 @@
             self._returns.append(pause.length - pause.looked)
         if not pause.found and not pause.went_on:
             is_longer = pause.length > self._ordinary
-            self._ordinary += LEARNING_STEP * ((1 - FALSE_SHARE) if is_longer else -FALSE_SHARE)
+            self._ordinary += LEARNING_STEP_S * ((1 - NEEDLESS_PROBE_SHARE) if is_longer else -NEEDLESS_PROBE_SHARE)
 
     def estimate_return(self) -> float:
         """Estimate the seconds from the probe until the answer resumes, if a server was lost."""
-        if len(self._returns) < FEWEST_RETURNS:
-            return ASSUMED_RETURN
-        return sorted(self._returns)[int(RETURN_SHARE * (len(self._returns) - 1))]
+        if len(self._returns) < MIN_RESUME_TIMES:
+            return ASSUMED_RESUME_S
+        return sorted(self._returns)[int(RESUME_QUANTILE * (len(self._returns) - 1))]
 
     def compute(self, pace: StreamPace, objective: float | None) -> float:
         """Compute the seconds without an event after which the servers are probed.
 
         :param objective: longest pause that the caller accepts, in seconds; none when the route does not set it.
         """
-        longest = max(LONGEST, LONGEST_PAUSES * pace.usual)
+        longest = max(MAX_SILENCE_S, MAX_SILENCE_PAUSES * pace.usual)
         explained = pace.explain()
         if objective is None or explained is None:
             return longest
-        return min(longest, max(SHORTEST, explained, self._ordinary, objective - self.estimate_return()))
+        return min(longest, max(MIN_SILENCE_S, explained, self._ordinary, objective - self.estimate_return()))
 
 
-__all__ = ["ASSUMED_RETURN", "FALSE_SHARE", "FIRST_ORDINARY", "LONGEST", "SHORTEST", "Patience"]
+__all__ = [
+    "ASSUMED_RESUME_S",
+    "FIRST_ORDINARY_PAUSE_S",
+    "MAX_SILENCE_S",
+    "MIN_SILENCE_S",
+    "NEEDLESS_PROBE_SHARE",
+    "Patience",
+]
--- a/packages/core/src/vaneturn_core/traffic/ratelimits.py
+++ b/packages/core/src/vaneturn_core/traffic/ratelimits.py
@@ -17,15 +17,15 @@
 from vaneturn_core.traffic.relays import hash_text
 from vaneturn_core.traffic.servers import ServerId
 
-BURST: Final = 2  # permits that may be issued at once after an idle time
-WHOLE: Final = 1.0  # share of the rate of a node that is certainly the only first issuer
-STAND_IN_SHARE: Final = 0.2  # of the rate, for any other issuer
-SETTLE_TIME: Final = 4.0  # seconds until all nodes know of a node that joined or left, and have used their last permits
-ISSUERS: Final = 2  # nodes that issue permits for a server
-MAX_RANKED: Final = 1024  # size of the cache of issuers, by server and set of nodes
-NEWS_TIME: Final = 5.0  # seconds for which nodes report a change; nodes that miss it learn of it with a permit
-MAX_NEWS: Final = 64  # limits in a message between nodes
-ASK_ANOTHER: Final = 0.5  # seconds until a node that asked a node which is no issuer asks again
+MAX_BURST: Final = 2  # permits that may be issued at once after an idle time
+FULL_SHARE: Final = 1.0  # share of the rate of a node that is certainly the only first issuer
+SUBSTITUTE_SHARE: Final = 0.2  # of the rate, for any other issuer
+SETTLE_TIME_S: Final = 4.0  # until all nodes know of a node that joined or left, and have used their last permits
+ISSUERS_PER_SERVER: Final = 2  # nodes that issue its permits
+ISSUER_CACHE_SIZE: Final = 1024  # entries, by server and set of nodes
+CHANGE_REPORT_TIME_S: Final = 5.0  # nodes that miss the report of a change learn of it with a permit
+MAX_REPORTED_CHANGES: Final = 64  # limits in a message between nodes
+ASK_AGAIN_S: Final = 0.5  # time until a node that asked a node which is no issuer asks again
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,8 +53,8 @@
 
     def list_news(self, now: float) -> dict[ServerId, RateLimit]:
         """List the recently changed limits for other nodes, the newest first."""
-        news = [(server, limit) for server, limit in self._limits.items() if limit.since > now - NEWS_TIME]
-        return dict(sorted(news, key=lambda item: item[1].since, reverse=True)[:MAX_NEWS])
+        news = [(server, limit) for server, limit in self._limits.items() if limit.since > now - CHANGE_REPORT_TIME_S]
+        return dict(sorted(news, key=lambda item: item[1].since, reverse=True)[:MAX_REPORTED_CHANGES])
 
     def note_answer(self, server: ServerId, rate: float | None, sent_at: float, now: float) -> None:
         """Record the limit in an answer, or its absence.
@@ -92,7 +92,7 @@
 
 
 class NodeHistory:
-    """The sets of nodes that were registered during the last SETTLE_TIME seconds."""
+    """The sets of nodes that were registered during the last SETTLE_TIME_S seconds."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
@@ -106,7 +106,7 @@
 
     def list_recent(self) -> list[frozenset[VmId]]:
         """List all sets of nodes that were registered at some point in this time."""
-        oldest = self._clock() - SETTLE_TIME
+        oldest = self._clock() - SETTLE_TIME_S
         while len(self._known) > 1 and self._known[1][0] <= oldest:
             self._known.popleft()
         return [nodes for _, nodes in self._known]
@@ -129,9 +129,9 @@
         """
         share = self._find_share(server)
         if not share:
-            return ASK_ANOTHER
+            return ASK_AGAIN_S
         now, interval = self._clock(), 1 / (rate * share)
-        burst_credit = (BURST - 1) * interval if share == WHOLE else 0.0
+        burst_credit = (MAX_BURST - 1) * interval if share == FULL_SHARE else 0.0
         next_at = max(self._next_at.get(server, now), now - burst_credit)
         if next_at > now:
             wait = next_at - now + self._refused[server] * interval  # spreads the nodes that ask again
@@ -152,21 +152,21 @@
         ranks = [rank_issuers(server, nodes) for nodes in self._history.list_recent()]
         if self._vm not in ranks[-1]:
             return 0.0
-        return WHOLE if all(ranked[:1] == (self._vm,) for ranked in ranks) else STAND_IN_SHARE
+        return FULL_SHARE if all(ranked[:1] == (self._vm,) for ranked in ranks) else SUBSTITUTE_SHARE
 
 
-@lru_cache(maxsize=MAX_RANKED)
+@lru_cache(maxsize=ISSUER_CACHE_SIZE)
 def rank_issuers(server: ServerId, nodes: frozenset[VmId]) -> tuple[VmId, ...]:
     """Rank the nodes that issue permits for a server; a node asks the next one if the one before does not answer."""
-    return tuple(sorted(nodes, key=lambda node: (hash_text(f"{server} {node}"), node))[:ISSUERS])
+    return tuple(sorted(nodes, key=lambda node: (hash_text(f"{server} {node}"), node))[:ISSUERS_PER_SERVER])
 
 
 __all__ = [
-    "BURST",
-    "MAX_NEWS",
-    "SETTLE_TIME",
-    "STAND_IN_SHARE",
-    "WHOLE",
+    "FULL_SHARE",
+    "MAX_BURST",
+    "MAX_REPORTED_CHANGES",
+    "SETTLE_TIME_S",
+    "SUBSTITUTE_SHARE",
     "NodeHistory",
     "PermitIssuer",
     "RateLimit",
--- a/packages/core/src/vaneturn_core/traffic/relays.py
+++ b/packages/core/src/vaneturn_core/traffic/relays.py
@@ -9,14 +9,14 @@
 
 from vaneturn_core.identifiers import VmId
 
-DIRECT_NODES: Final = 3  # up to this number of nodes, all ask the store, since a relay would save next to nothing
+MAX_DIRECT_NODES: Final = 3  # up to this number, all nodes ask the store: a relay would save next to nothing
 # nodes per relay. Each of them asks 1 to 5 times per second, which takes half a millisecond of the relay's processor
 # time and 2 KB with 190 servers. With 16 in place of 48, 195 nodes keep 13 watches on the store in place of 5
-NODES_EACH: Final = 48
+NODES_PER_RELAY: Final = 48
 MIN_RELAYS: Final = 2  # so that one is left when the other is lost
 
 WATCH_SHARE: Final = 0.4  # of the shortest bound: longest time of a relay without an answer of the store
-MAX_RELAY_WATCH: Final = 1.0  # seconds; keys are closed a few seconds after the last answer of the store
+MAX_RELAY_WATCH_S: Final = 1.0  # keys are closed a few seconds after the last answer of the store
 GATHER_SHARE: Final = 0.05  # of the shortest bound, between an answer and the next question, to batch changes
 HOLD_MARGIN: Final = 0.05  # of the shortest bound, for the round trip to the store
 ARRIVING_MARGIN: Final = 0.05  # of the shortest bound, for the transfer to the node that asked
@@ -40,7 +40,7 @@
 
         :param shortest_bound: seconds from a change in the store to the last request that may ignore it.
         """
-        watch = min(WATCH_SHARE * shortest_bound, MAX_RELAY_WATCH)
+        watch = min(WATCH_SHARE * shortest_bound, MAX_RELAY_WATCH_S)
         hold = watch + HOLD_MARGIN * shortest_bound
         ask = hold + ANSWER_MARGIN * shortest_bound
         hold_arriving = ask - ARRIVING_MARGIN * shortest_bound
@@ -49,9 +49,9 @@
 
 def count_relays(nodes: int) -> int:
     """Return the number of relays for a number of nodes."""
-    if nodes <= DIRECT_NODES:
+    if nodes <= MAX_DIRECT_NODES:
         return nodes
-    return max(MIN_RELAYS, -(-nodes // NODES_EACH))
+    return max(MIN_RELAYS, -(-nodes // NODES_PER_RELAY))
 
 
 def list_relays(nodes: Collection[VmId]) -> list[VmId]:
--- a/packages/core/src/vaneturn_core/traffic/retries.py
+++ b/packages/core/src/vaneturn_core/traffic/retries.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Final
 
-KEPT_SHARE: Final = 0.85  # of the budget is used at most: traffic is uneven, and nodes count each other with a delay
+USABLE_SHARE: Final = 0.85  # of the budget, since traffic is uneven and nodes count each other with a delay
 
 
 class WindowedRetryBudget:
@@ -50,7 +50,7 @@
 
     def compute_limit(self) -> float:
         """Compute how many retries this node may make in the window."""
-        return KEPT_SHARE * (self._ratio * len(self._firsts) + self._slack / max(1, self._count_nodes()))
+        return USABLE_SHARE * (self._ratio * len(self._firsts) + self._slack / max(1, self._count_nodes()))
 
     def _forget(self) -> None:
         oldest = self._clock() - self._window
@@ -59,4 +59,4 @@
                 times.popleft()
 
 
-__all__ = ["KEPT_SHARE", "WindowedRetryBudget"]
+__all__ = ["USABLE_SHARE", "WindowedRetryBudget"]
--- a/packages/core/src/vaneturn_core/traffic/startup.py
+++ b/packages/core/src/vaneturn_core/traffic/startup.py
@@ -11,8 +11,8 @@
 
 from typing import Final
 
-CLIENT_PATIENCE: Final = 2.0  # seconds without an event, the first one included, after which clients abandon a stream
-FIRST_EVENT_TIME: Final = 0.5  # seconds of CLIENT_PATIENCE that are reserved for the request itself
+CLIENT_PATIENCE_S: Final = 2.0  # without an event, the first one included; then clients abandon a stream
+FIRST_EVENT_TIME_S: Final = 0.5  # part of CLIENT_PATIENCE_S that is reserved for the request itself
 WAIT_SHARE: Final = 0.5  # of the client's deadline; the rest is for the request itself
 
 
@@ -25,10 +25,10 @@
     """
     if is_read:
         return 0.0
-    borne = CLIENT_PATIENCE - FIRST_EVENT_TIME
+    borne = CLIENT_PATIENCE_S - FIRST_EVENT_TIME_S
     if deadline is not None:
         borne = min(borne, WAIT_SHARE * deadline)
     return max(0.0, borne - waited)
 
 
-__all__ = ["CLIENT_PATIENCE", "FIRST_EVENT_TIME", "WAIT_SHARE", "compute_first_wait"]
+__all__ = ["CLIENT_PATIENCE_S", "FIRST_EVENT_TIME_S", "WAIT_SHARE", "compute_first_wait"]
--- a/packages/core/src/vaneturn_core/traffic/tilings.py
+++ b/packages/core/src/vaneturn_core/traffic/tilings.py
@@ -7,12 +7,12 @@
 from typing import Final
 
 from vaneturn_core.traffic.configuration import EngineProfile
-from vaneturn_core.traffic.layermap import HOP_TIME
+from vaneturn_core.traffic.layermap import HOP_TIME_S
 from vaneturn_core.traffic.memory import ServerMemory
 from vaneturn_core.traffic.servers import BackendServer, LayerRange
 
-REDUCED_CAPACITY_SHARE: Final = 0.85  # accepted if it saves a chain its last server, which costs each token 0.8 ms
-CAPACITY_STEPS: Final = 12  # bisection steps for the capacity of a chain: precise to a fortieth of a request at 96
+REDUCED_CAPACITY_SHARE: Final = 0.85  # if it saves a chain its last server, which costs each token 0.8 ms
+CAPACITY_STEPS: Final = 12  # bisections for the capacity of a chain: precise to a fortieth of a request at 96
 TILING_SHIFT: Final = 0.5  # of the layers; offset between the fastest servers of successive tilings of a hall
 
 
@@ -96,7 +96,7 @@
     def _estimate_layer_time(self, server: BackendServer, requests: float) -> float:
         """Estimate the seconds that a token takes per layer on a server, including its wait there."""
         step = self._engine.step * self._engine.kinds[server.kind or ""].step_factor / self._engine.layers
-        return step + HOP_TIME / max(1, self._memory.count_roomy_layers(server, requests))
+        return step + HOP_TIME_S / max(1, self._memory.count_roomy_layers(server, requests))
 
 
 def _lay_out(parts: Sequence[tuple[BackendServer, int]], before: int) -> Iterator[Placement]:
--- a/packages/core/src/vaneturn_core/traffic/view.py
+++ b/packages/core/src/vaneturn_core/traffic/view.py
@@ -11,12 +11,12 @@
 from vaneturn_core.traffic.configuration import TrafficConfiguration
 from vaneturn_core.traffic.servers import BackendServer, ServerId, ServerName
 
-KEYS_MARGIN: Final = 0.8  # seconds; without changes, a watch may be silent for a second until the store confirms that
-LAPSE_HOLD: Final = 2.2  # seconds after the end of an outage in which servers write their entries again
-RETURN_TIME: Final = 0.5  # seconds after the end of an outage in which the store still reports entries lapsed in it
-SAME_TROUBLE: Final = 3.0  # seconds; most between the last failures of two nodes in one outage: a lost call takes 2 s
-MAX_TOLD_AGE: Final = 1e9  # seconds; shown by a node that has not heard from the store yet
-READY_AGE: Final = 2.5  # seconds; a node that has not heard from the store for longer is not ready for new clients
+KEYS_MARGIN_S: Final = 0.8  # without changes, a watch may be silent for a second until the store confirms that
+LAPSE_HOLD_S: Final = 2.2  # time after the end of an outage in which servers write their entries again
+RETURN_TIME_S: Final = 0.5  # time after the end of an outage in which the store still reports entries lapsed in it
+SAME_OUTAGE_S: Final = 3.0  # most between the last failures of two nodes in one outage: a lost call takes 2 s
+MAX_SHOWN_AGE_S: Final = 1e9  # shown by a node that has not heard from the store yet
+MAX_READY_AGE_S: Final = 2.5  # a node that has not heard from the store for longer is not ready for new clients
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
     def shares_trouble(self, other: StoreContact) -> bool:
         """Tell whether both nodes failed to reach the store at about the same time."""
         have_failed = min(self.failed_at, other.failed_at) > float("-inf")
-        return have_failed and abs(self.failed_at - other.failed_at) <= SAME_TROUBLE
+        return have_failed and abs(self.failed_at - other.failed_at) <= SAME_OUTAGE_S
 
 
 class PlatformView:
@@ -46,7 +46,7 @@
 
         :param keys_valid: seconds from the removal of a key to the last request accepted with it.
         """
-        self._keys_valid = keys_valid - KEYS_MARGIN
+        self._keys_valid = keys_valid - KEYS_MARGIN_S
         self._clock = clock
         self.configuration: TrafficConfiguration | None = None
         self.servers: dict[ServerId, BackendServer] = {}
@@ -64,7 +64,7 @@
     @property
     def told_age(self) -> float:
         """Return the age for logs and operators, which need a finite number."""
-        return min(self.age, MAX_TOLD_AGE)
+        return min(self.age, MAX_SHOWN_AGE_S)
 
     def are_keys_valid(self) -> bool:
         """Tell whether the known keys are recent enough to accept requests with them."""
@@ -72,7 +72,7 @@
 
     def is_ready(self) -> bool:
         """Tell whether this node should get new clients."""
-        return self.has_servers and self.configuration is not None and self.age < min(READY_AGE, self._keys_valid)
+        return self.has_servers and self.configuration is not None and self.age < min(MAX_READY_AGE_S, self._keys_valid)
 
     def count_nodes(self) -> int:
         """Count the nodes that share limits with this one, itself included."""
@@ -142,8 +142,8 @@
         now = self._clock()
         if server not in self.servers:
             return False
-        if self.contact.is_in_trouble or now - self.contact.returned_at < RETURN_TIME:
-            self._lapsed.setdefault(server, now + LAPSE_HOLD)
+        if self.contact.is_in_trouble or now - self.contact.returned_at < RETURN_TIME_S:
+            self._lapsed.setdefault(server, now + LAPSE_HOLD_S)
             return False
         self.drop_server(server)
         return True
--- a/packages/node/src/vaneturn_node/traffic/following/follower.py
+++ b/packages/node/src/vaneturn_node/traffic/following/follower.py
@@ -9,7 +9,7 @@
 import anyio
 
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.outage import RELAY_RETRY, draw_direct_retry, draw_retry
+from vaneturn_core.traffic.outage import RELAY_RETRY_DELAY_S, draw_direct_retry, draw_retry
 from vaneturn_core.traffic.relays import RelayTimes, rank_relays
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.clock import read_clock
@@ -117,7 +117,7 @@
         """Leave the store, which is away for the relays as well, to them for a while, and ask them soon."""
         now = read_clock()
         self._direct_from = now + draw_direct_retry(self._view.count_nodes(), self._times.bound)
-        self._rests.update(dict.fromkeys(self._out_of_touch, now + RELAY_RETRY))
+        self._rests.update(dict.fromkeys(self._out_of_touch, now + RELAY_RETRY_DELAY_S))
 
     def _choose_relay(self) -> VmId | None:
         now = read_clock()
@@ -148,7 +148,7 @@
         now = read_clock()
         is_outage = is_out_of_touch and now < self._direct_from
         self._rests = {one: until for one, until in self._rests.items() if one in self._view.nodes}
-        self._rests[relay] = now + (RELAY_RETRY if is_outage else RELAY_REST)
+        self._rests[relay] = now + (RELAY_RETRY_DELAY_S if is_outage else RELAY_REST)
         if is_out_of_touch:
             self._out_of_touch.add(relay)
         else:
--- a/packages/node/src/vaneturn_node/traffic/servers/lossfinding.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/lossfinding.py
@@ -11,10 +11,10 @@
 
 from vaneturn_core.identifiers import RequestId
 from vaneturn_core.traffic.chain import Chain, Part
-from vaneturn_core.traffic.chains import VERY_SLOW
+from vaneturn_core.traffic.chains import VERY_SLOW_FACTOR
 from vaneturn_core.traffic.hearing import compute_answer_limit, compute_sign_time
 from vaneturn_core.traffic.servers import ServerId
-from vaneturn_core.traffic.view import MAX_TOLD_AGE
+from vaneturn_core.traffic.view import MAX_SHOWN_AGE_S
 from vaneturn_node.clock import read_clock
 from vaneturn_node.http1.caller import Failed
 from vaneturn_node.traffic.servers.exchange import TrafficParts
@@ -144,7 +144,7 @@
             "asked": asked,
             "hears_others": is_hearing,
             "took": round(now - started, 3),  # far over the time for two signs of life: this process was held up
-            "heard_age": round(min(now - self._parts.beliefs.heard_at, MAX_TOLD_AGE), 3),  # of any server
+            "heard_age": round(min(now - self._parts.beliefs.heard_at, MAX_SHOWN_AGE_S), 3),  # of any server
         }
         logger.info("servers silent", extra=extra)
 
@@ -157,7 +157,7 @@
             if isinstance(report, Failed):
                 return
             self._parts.beliefs[part.server.id].take_slowness(report.slowness, read_clock())
-            if report.slowness >= VERY_SLOW:
+            if report.slowness >= VERY_SLOW_FACTOR:
                 slow.append(part)
 
         async with anyio.create_task_group() as tasks:
--- a/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
@@ -15,7 +15,7 @@
 
 from vaneturn_core.traffic.chain import Chain
 from vaneturn_core.traffic.chains import ChainChooser
-from vaneturn_core.traffic.crashes import STARTING_TIME, Suspicion
+from vaneturn_core.traffic.crashes import STARTING_TIME_S, Suspicion
 from vaneturn_core.traffic.pace import Stage
 from vaneturn_core.traffic.servers import BackendServer
 from vaneturn_node.clock import read_clock
@@ -158,7 +158,7 @@
         """Take note that the server has run the request for a while: it does not end servers."""
         now = read_clock()
         self._heard_from = min(self._heard_from, now)
-        if not self._work.is_sound and now - self._heard_from >= STARTING_TIME:
+        if not self._work.is_sound and now - self._heard_from >= STARTING_TIME_S:
             self._work.is_sound = True
             self._parts.crash_watch.note_sound(self._first, self._work.content)
 
--- a/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from vaneturn_core.traffic.beliefs import ServerBeliefs
-from vaneturn_core.traffic.loads import SUM_AGE, LoadBoard
+from vaneturn_core.traffic.loads import MAX_SUM_AGE_S, LoadBoard
 from vaneturn_core.traffic.relays import RelayTimes
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.clock import read_clock
@@ -164,7 +164,7 @@
 
     def _pack_all(self, now: float) -> bytes:
         """Pack the loads of all nodes, once for all that are answered at about the same time."""
-        if now - self._packed_at >= SUM_AGE:
+        if now - self._packed_at >= MAX_SUM_AGE_S:
             self._packed = pack_loads(self._board.sum_all(self._beliefs.list_loads()))
             self._packed_at = now
         return self._packed
--- a/tests/core/traffic/test_chains.py
+++ b/tests/core/traffic/test_chains.py
@@ -16,7 +16,7 @@
 from vaneturn_core.traffic.configuration import EngineProfile
 from vaneturn_core.traffic.crossings import compute_crossing_share
 from vaneturn_core.traffic.layermap import LayerMap
-from vaneturn_core.traffic.loads import SUM_AGE, LoadBoard
+from vaneturn_core.traffic.loads import MAX_SUM_AGE_S, LoadBoard
 from vaneturn_core.traffic.servers import BackendServer, ServerLoad
 
 
@@ -204,7 +204,7 @@
     free = chooser.choose(fleet)
     assert free is not None
     assert free.first is fleet[0]
-    now[0] += 2 * SUM_AGE
+    now[0] += 2 * MAX_SUM_AGE_S
     board.take_follower(VmId("entry-2"), {fleet[0].id: ServerLoad(fleet[0].slots, 0.0)})
     full = make_chooser(fleet, beliefs, board=board).choose(fleet)
     assert full is not None
--- a/tests/core/traffic/test_crashes.py
+++ b/tests/core/traffic/test_crashes.py
@@ -11,9 +11,9 @@
 
 from vaneturn_core.traffic.contents import Content, digest_content
 from vaneturn_core.traffic.crashes import (
-    DOUBT_TIME,
-    KEPT_TIME,
-    MAX_ENDS,
+    DOUBT_TIME_S,
+    MAX_CRASH_AGE_S,
+    MAX_CRASHES,
     MAX_SUSPECTS,
     CrashBoard,
     ServerEnd,
@@ -160,7 +160,7 @@
     scene = Scene()
     scene.end(0, GUILTY, OTHER)
     scene.end(1, GUILTY, OTHER)
-    scene.now += DOUBT_TIME - 1
+    scene.now += DOUBT_TIME_S - 1
     assert scene.board.is_barred(GUILTY)
     scene.now += 2
     assert not scene.board.is_barred(GUILTY)
@@ -168,7 +168,7 @@
     scene.end(2, GUILTY, OTHER)
     assert scene.board.is_barred(GUILTY)
     assert not scene.board.is_barred(OTHER)
-    scene.now += 2 * DOUBT_TIME
+    scene.now += 2 * DOUBT_TIME_S
     assert scene.board.is_barred(GUILTY)
 
 
@@ -186,15 +186,15 @@
 
 def test_ends_are_forgotten_and_bounded() -> None:
     scene = Scene()
-    for number in range(2 * MAX_ENDS):
+    for number in range(2 * MAX_CRASHES):
         server = ServerId(f"i-{number}")
         for content in range(2 * MAX_SUSPECTS):
             scene.board.note_lost(server, "v1", Content(content), Suspicion.UNHEARD)
         scene.board.confirm(server)
     ends = scene.board.list_ends()
-    assert len(ends) == MAX_ENDS
+    assert len(ends) == MAX_CRASHES
     assert all(len(end.suspects) == MAX_SUSPECTS for end in ends.values())
-    scene.now += KEPT_TIME + 1
+    scene.now += MAX_CRASH_AGE_S + 1
     assert scene.board.list_ends() == {}
     assert not scene.board.is_barred(Content(0))
 
--- a/tests/core/traffic/test_firsts.py
+++ b/tests/core/traffic/test_firsts.py
@@ -6,7 +6,7 @@
 
 from core.traffic.samples import LARGE_ENGINE, LARGE_HALLS, make_fleet, make_server, place
 from vaneturn_core.identifiers import DataHall, VmId
-from vaneturn_core.traffic.firsts import HOME_FIRSTS, pick_firsts
+from vaneturn_core.traffic.firsts import ASSIGNED_FIRSTS, pick_firsts
 from vaneturn_core.traffic.servers import BackendServer
 
 OSBORNE = DataHall("osborne")
@@ -18,7 +18,7 @@
 
 
 def test_node_keeps_to_few_firsts_of_which_one_is_in_its_hall() -> None:
-    assert len(pick_often("entry-1", FIRSTS)) <= 2 * HOME_FIRSTS
+    assert len(pick_often("entry-1", FIRSTS)) <= 2 * ASSIGNED_FIRSTS
     assert pick_firsts(VmId("entry-1"), OSBORNE, FIRSTS)[0].hall == OSBORNE
 
 
--- a/tests/core/traffic/test_hearing.py
+++ b/tests/core/traffic/test_hearing.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from vaneturn_core.traffic.hearing import PROMPT, Hearing, compute_sign_time
+from vaneturn_core.traffic.hearing import PROMPT_ANSWER_S, Hearing, compute_sign_time
 
 
 class Clock:
@@ -19,7 +19,7 @@
     clock = Clock()
     hearing = Hearing(clock)
     assert not hearing.has_heard_since(99.0)
-    clock.now += PROMPT / 2
+    clock.now += PROMPT_ANSWER_S / 2
     hearing.record_answer(100.0)
     assert hearing.has_heard_since(100.0)
     assert not hearing.has_heard_since(100.001)
@@ -29,7 +29,7 @@
     """On a full link, tokens and answers still arrive, but late."""
     clock = Clock()
     hearing = Hearing(clock)
-    clock.now += 2 * PROMPT
+    clock.now += 2 * PROMPT_ANSWER_S
     hearing.record_answer(100.0)
     assert not hearing.has_heard_since(100.0)
 
@@ -47,7 +47,7 @@
     [
         pytest.param(9, [], None, id="nobody answered"),
         pytest.param(8, [0.003] * 4, None, id="no more than half"),
-        pytest.param(9, [0.003] * 5, PROMPT, id="most answer at once"),
+        pytest.param(9, [0.003] * 5, PROMPT_ANSWER_S, id="most answer at once"),
         pytest.param(3, [0.003, 0.012], 0.048, id="slow answers are waited for"),
     ],
 )
--- a/tests/core/traffic/test_loads.py
+++ b/tests/core/traffic/test_loads.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.loads import LOAD_AGE, LoadBoard
+from vaneturn_core.traffic.loads import MAX_REPORT_AGE_S, LoadBoard
 from vaneturn_core.traffic.servers import ServerId, ServerLoad
 
 ONE, OTHER = ServerId("i-1"), ServerId("i-2")
@@ -41,9 +41,9 @@
     clock = Clock()
     board = LoadBoard(clock)
     board.take_follower(VmId("entry-2"), {ONE: ServerLoad(3, 30.0)})
-    clock.now += LOAD_AGE - 0.1
+    clock.now += MAX_REPORT_AGE_S - 0.1
     board.take_relay(VmId("entry-3"), {OTHER: ServerLoad(1, 10.0)})
     clock.now += 0.2
     assert board.sum_all({}) == {OTHER: ServerLoad(1, 10.0)}
-    clock.now += LOAD_AGE
+    clock.now += MAX_REPORT_AGE_S
     assert board.find_others(ONE) is None
--- a/tests/core/traffic/test_losses.py
+++ b/tests/core/traffic/test_losses.py
@@ -5,8 +5,8 @@
 import pytest
 
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.beliefs import ALIVE_AGE, LIKELY_FULL, ServerBeliefs
-from vaneturn_core.traffic.losses import WORD_AGE, Finding, LossBoard
+from vaneturn_core.traffic.beliefs import ALIVE_AGE_S, LIKELY_FULL_SHARE, ServerBeliefs
+from vaneturn_core.traffic.losses import MAX_REPORT_AGE_S, Finding, LossBoard
 from vaneturn_core.traffic.servers import ServerId
 
 LOST, OTHER = ServerId("i-1"), ServerId("i-2")
@@ -64,7 +64,7 @@
     board.take_follower(VmId("entry-3"), {LOST: Finding(108.0), OTHER: Finding(100.7)}, {})
     clock.now += 1.0
     assert board.list_confirmed({}) == {LOST: 108.0}
-    clock.now += WORD_AGE
+    clock.now += MAX_REPORT_AGE_S
     assert board.list_confirmed({}) == {}
 
 
@@ -72,7 +72,7 @@
     beliefs = ServerBeliefs()
     beliefs[LOST].record_token(99.9)
     assert not beliefs[LOST].take_told_loss(103.0, 100.0)
-    assert beliefs[LOST].take_told_loss(103.0, 100.0 + ALIVE_AGE)
+    assert beliefs[LOST].take_told_loss(103.0, 100.0 + ALIVE_AGE_S)
     assert beliefs[LOST].resting_until == 103.0
 
 
@@ -88,8 +88,8 @@
 def test_refusal_by_a_server_that_should_be_full_is_no_loss() -> None:
     """Of many nodes, few have a recent token from a full server; the others took it for lost, for up to 8 s."""
     beliefs = ServerBeliefs()
-    beliefs[LOST].record_refusal(100.0, LIKELY_FULL)
+    beliefs[LOST].record_refusal(100.0, LIKELY_FULL_SHARE)
     assert beliefs.list_found(100.1) == {}
     assert beliefs[LOST].resting_until < 100.5
-    beliefs[OTHER].record_refusal(100.0, LIKELY_FULL - 0.1)
+    beliefs[OTHER].record_refusal(100.0, LIKELY_FULL_SHARE - 0.1)
     assert set(beliefs.list_found(100.1)) == {OTHER}
--- a/tests/core/traffic/test_outage.py
+++ b/tests/core/traffic/test_outage.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from vaneturn_core.traffic.outage import MAX_RETRY, RELAY_RETRY, draw_direct_retry, draw_retry
+from vaneturn_core.traffic.outage import MAX_RETRY_DELAY_S, RELAY_RETRY_DELAY_S, draw_direct_retry, draw_retry
 from vaneturn_core.traffic.relays import count_relays
 
 BOUND = 3.0  # seconds
@@ -14,7 +14,7 @@
 
 
 def test_few_nodes_ask_as_often_as_one_alone() -> None:
-    assert all(MAX_RETRY / 2 <= draw_direct_retry(8, BOUND) <= MAX_RETRY for _ in range(50))
+    assert all(MAX_RETRY_DELAY_S / 2 <= draw_direct_retry(8, BOUND) <= MAX_RETRY_DELAY_S for _ in range(50))
 
 
 @pytest.mark.parametrize("nodes", [64, 195, 390])
@@ -39,7 +39,7 @@
         returns.append(now - OUTAGE)
     if leaves_it_to_relays:  # a relay that reaches the store again informs its followers
         back = min(returns[:relays])
-        returns = [min(own, max(back, random.uniform(0, RELAY_RETRY + MAX_RETRY))) for own in returns]
+        returns = [min(own, max(back, random.uniform(0, RELAY_RETRY_DELAY_S + MAX_RETRY_DELAY_S))) for own in returns]
     return calls, sum(returns) / nodes
 
 
@@ -52,4 +52,4 @@
     calls, back = play_outage(nodes, leaves_it_to_relays=True)
     calls_without, back_without = play_outage(nodes, leaves_it_to_relays=False)
     assert calls < calls_without / 2
-    assert back < back_without + RELAY_RETRY
+    assert back < back_without + RELAY_RETRY_DELAY_S
--- a/tests/core/traffic/test_patience.py
+++ b/tests/core/traffic/test_patience.py
@@ -8,7 +8,14 @@
 import pytest
 
 from vaneturn_core.traffic.pace import Pause, StreamPace
-from vaneturn_core.traffic.patience import ASSUMED_RETURN, FALSE_SHARE, FIRST_ORDINARY, LONGEST, SHORTEST, Patience
+from vaneturn_core.traffic.patience import (
+    ASSUMED_RESUME_S,
+    FIRST_ORDINARY_PAUSE_S,
+    MAX_SILENCE_S,
+    MIN_SILENCE_S,
+    NEEDLESS_PROBE_SHARE,
+    Patience,
+)
 
 QUESTION = 0.03  # seconds until a server without an answer counts as unresponsive, given the answers of the others
 LONGEST_QUESTION = 0.06  # the same by a fixed timeout
@@ -31,22 +38,22 @@
 
 
 def test_caller_that_says_nothing_gets_the_usual_patience() -> None:
-    assert Patience().compute(make_pace([0.025] * 9), None) == LONGEST
+    assert Patience().compute(make_pace([0.025] * 9), None) == MAX_SILENCE_S
 
 
 def test_patience_leaves_the_time_to_go_on() -> None:
-    assert Patience().compute(make_pace([0.025] * 9), 0.25) == pytest.approx(0.25 - ASSUMED_RETURN)
+    assert Patience().compute(make_pace([0.025] * 9), 0.25) == pytest.approx(0.25 - ASSUMED_RESUME_S)
 
 
 def test_patience_is_never_longer_for_a_caller_that_bears_more() -> None:
-    assert Patience().compute(make_pace([0.025] * 9), 5.0) == LONGEST
+    assert Patience().compute(make_pace([0.025] * 9), 5.0) == MAX_SILENCE_S
 
 
 def test_patience_is_what_the_pace_explains_at_least() -> None:
     pace = make_pace([0.02, 0.04] * 10)
     explained = pace.explain()
     assert explained is not None
-    assert Patience().compute(pace, 0.15) == pytest.approx(min(LONGEST, explained))
+    assert Patience().compute(pace, 0.15) == pytest.approx(min(MAX_SILENCE_S, explained))
 
 
 def test_slow_answers_are_given_longer() -> None:
@@ -67,10 +74,10 @@
     patience = Patience()
     for _ in range(8):
         patience.take_pause(Pause(0.0, 1.5, looked=0.1, found=0.2, went_on=0.3))
-    assert patience.compute(make_pace([0.01] * 20), 0.2) == FIRST_ORDINARY
+    assert patience.compute(make_pace([0.01] * 20), 0.2) == FIRST_ORDINARY_PAUSE_S
     for _ in range(8000):
         patience.take_pause(Pause(0.0, 0.01))
-    assert patience.compute(make_pace([0.01] * 20), 0.2) == SHORTEST
+    assert patience.compute(make_pace([0.01] * 20), 0.2) == MIN_SILENCE_S
 
 
 def draw_reading(rng: random.Random) -> float:
@@ -119,7 +126,7 @@
     late, looks = play_losses(objective=0.2, question=QUESTION, seed=seed)
     late_without, _ = play_losses(objective=None, question=LONGEST_QUESTION, seed=seed)
     assert late < late_without / 3  # the aim is 15 of 46 streams
-    assert looks < 2 * FALSE_SHARE * MEAN_PAUSES
+    assert looks < 2 * NEEDLESS_PROBE_SHARE * MEAN_PAUSES
 
 
 def test_silences_that_mean_nothing_become_ordinary() -> None:
--- a/tests/core/traffic/test_ratelimits.py
+++ b/tests/core/traffic/test_ratelimits.py
@@ -11,11 +11,11 @@
 
 from vaneturn_core.identifiers import VmId
 from vaneturn_core.traffic.ratelimits import (
-    BURST,
-    MAX_NEWS,
-    SETTLE_TIME,
-    STAND_IN_SHARE,
-    WHOLE,
+    FULL_SHARE,
+    MAX_BURST,
+    MAX_REPORTED_CHANGES,
+    SETTLE_TIME_S,
+    SUBSTITUTE_SHARE,
     NodeHistory,
     PermitIssuer,
     RateLimits,
@@ -47,7 +47,7 @@
         for vm in sorted(self.members):
             self._start(vm)
             self._hear(vm, frozenset(self.members))
-        self.now = SETTLE_TIME + 1.0
+        self.now = SETTLE_TIME_S + 1.0
         self.held_until = dict.fromkeys(self.members, 0.0)
         self.sent: deque[float] = deque()
         self.served = 0
@@ -113,7 +113,7 @@
 def test_many_nodes_use_a_limit_and_do_not_exceed_it(nodes: int, rate: float) -> None:
     fleet = Fleet(nodes, random.Random(f"{nodes} {rate}"))
     fleet.play(20.0, rate, demand=10 * rate + 10)
-    assert fleet.most <= (WHOLE + STAND_IN_SHARE) * rate * WINDOW + BURST + 2
+    assert fleet.most <= (FULL_SHARE + SUBSTITUTE_SHARE) * rate * WINDOW + MAX_BURST + 2
     assert fleet.served >= 0.8 * 20.0 * rate
 
 
@@ -143,7 +143,7 @@
     history.note([VmId("entry-1")])
     assert issuer.issue(SERVER, 10.0) == 0
     assert issuer.issue(SERVER, 10.0) == pytest.approx(0.5)
-    now = SETTLE_TIME + 0.1
+    now = SETTLE_TIME_S + 0.1
     history.note([VmId("entry-1")])
     assert [issuer.issue(SERVER, 10.0) for _ in range(3)] == [0, 0, pytest.approx(0.1)]
 
@@ -158,7 +158,7 @@
     now = 0.0
     history = NodeHistory(lambda: now)
     history.note([VmId("entry-1")])
-    now = SETTLE_TIME + 0.1
+    now = SETTLE_TIME_S + 0.1
     return PermitIssuer(VmId("entry-1"), history, lambda: now)
 
 
@@ -176,10 +176,10 @@
 
 def test_news_are_the_newest_changes_and_bounded() -> None:
     limits = RateLimits()
-    for number in range(2 * MAX_NEWS):
+    for number in range(2 * MAX_REPORTED_CHANGES):
         limits.note_answer(ServerId(f"i-{number}"), 2.0, sent_at=0.0, now=100.0 + number / 100)
-    assert len(limits.list_news(now=102.0)) == MAX_NEWS
-    assert next(iter(limits.list_news(now=102.0))) == f"i-{2 * MAX_NEWS - 1}"
+    assert len(limits.list_news(now=102.0)) == MAX_REPORTED_CHANGES
+    assert next(iter(limits.list_news(now=102.0))) == f"i-{2 * MAX_REPORTED_CHANGES - 1}"
     assert limits.list_news(now=110.0) == {}
 
 
--- a/tests/core/traffic/test_relays.py
+++ b/tests/core/traffic/test_relays.py
@@ -8,8 +8,8 @@
 
 from vaneturn_core.identifiers import VmId
 from vaneturn_core.traffic.relays import (
-    DIRECT_NODES,
-    NODES_EACH,
+    MAX_DIRECT_NODES,
+    NODES_PER_RELAY,
     RelayTimes,
     count_relays,
     list_relays,
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    ("nodes", "relays"), [(1, 1), (DIRECT_NODES, DIRECT_NODES), (8, 2), (85, 2), (195, 5), (390, 9)]
+    ("nodes", "relays"), [(1, 1), (MAX_DIRECT_NODES, MAX_DIRECT_NODES), (8, 2), (85, 2), (195, 5), (390, 9)]
 )
 def test_relays_grow_much_more_slowly_than_nodes(nodes: int, relays: int) -> None:
     assert count_relays(nodes) == relays
@@ -37,7 +37,7 @@
 def test_relays_and_nodes_of_a_small_installation_ask_the_store() -> None:
     nodes = make_nodes(40)
     assert all(not rank_relays(relay, nodes) for relay in list_relays(nodes))
-    assert all(not rank_relays(node, nodes[:DIRECT_NODES]) for node in nodes[:DIRECT_NODES])
+    assert all(not rank_relays(node, nodes[:MAX_DIRECT_NODES]) for node in nodes[:MAX_DIRECT_NODES])
 
 
 def test_every_other_node_may_ask_each_relay_and_first_choices_are_spread() -> None:
@@ -47,7 +47,7 @@
     assert all(sorted(order) == sorted(relays) for order in ranked.values())
     first = Counter(order[0] for order in ranked.values())
     assert set(first) == set(relays)
-    assert max(first.values()) < 3 * NODES_EACH
+    assert max(first.values()) < 3 * NODES_PER_RELAY
 
 
 @pytest.mark.parametrize("bound", [0.5, 2.0, 3.0, 10.0])
--- a/tests/core/traffic/test_servers.py
+++ b/tests/core/traffic/test_servers.py
@@ -6,12 +6,12 @@
 
 from core.traffic.samples import make_server
 from vaneturn_core.traffic.beliefs import (
-    ALIVE_AGE,
-    FIRST_REST,
-    FULL_REST,
-    MAX_REST,
-    MAX_SHARE,
-    RETURN_GAP,
+    ALIVE_AGE_S,
+    FIRST_BACKOFF_S,
+    FULL_BACKOFF_S,
+    MAX_BACKOFF_S,
+    MAX_LOAD_FACTOR,
+    TRIAL_INTERVAL_S,
     ServerBelief,
     ServerBeliefs,
 )
@@ -20,9 +20,9 @@
 def test_rest_grows_with_failures_in_a_row_up_to_a_limit() -> None:
     belief = ServerBeliefs()[make_server(1, "l4").id]
     rests = [belief.record_failure(100.0) for _ in range(6)]
-    assert rests[0] == FIRST_REST
+    assert rests[0] == FIRST_BACKOFF_S
     assert rests == sorted(rests)
-    assert rests[-1] == MAX_REST
+    assert rests[-1] == MAX_BACKOFF_S
 
 
 def test_resting_server_gets_no_work_until_its_rest_is_over() -> None:
@@ -30,7 +30,7 @@
     servers = [make_server(number, "l4") for number in range(1, 4)]
     beliefs[servers[0].id].record_failure(100.0)
     assert servers[0] not in beliefs.list_choosable(servers, [], 100.1)
-    assert servers[0] in beliefs.list_choosable(servers, [], 100.0 + FIRST_REST)
+    assert servers[0] in beliefs.list_choosable(servers, [], 100.0 + FIRST_BACKOFF_S)
 
 
 def test_rest_counts_for_nothing_when_too_many_rest() -> None:
@@ -46,12 +46,12 @@
     beliefs = ServerBeliefs()
     full, lost = beliefs[make_server(1, "l4").id], beliefs[make_server(2, "l4").id]
     full.record_token(100.0)
-    lost.record_token(100.0 - ALIVE_AGE - 0.1)
+    lost.record_token(100.0 - ALIVE_AGE_S - 0.1)
     for _ in range(5):
         full.record_refusal(100.0)
         lost.record_refusal(100.0)
-    assert full.resting_until == 100.0 + FULL_REST
-    assert lost.resting_until == 100.0 + MAX_REST
+    assert full.resting_until == 100.0 + FULL_BACKOFF_S
+    assert lost.resting_until == 100.0 + MAX_BACKOFF_S
 
 
 def test_server_whose_address_has_another_id_gets_no_work() -> None:
@@ -74,7 +74,7 @@
     assert many.resting_until > 100.0
 
 
-@pytest.mark.parametrize(("told", "own", "share"), [(40, 5, 8.0), (3, 5, 1.0), (500, 5, MAX_SHARE * 8)])
+@pytest.mark.parametrize(("told", "own", "share"), [(40, 5, 8.0), (3, 5, 1.0), (500, 5, MAX_LOAD_FACTOR * 8)])
 def test_share_of_the_load_is_what_servers_tell(told: int, own: int, share: float) -> None:
     beliefs = ServerBeliefs()
     belief = beliefs[make_server(1, "l4").id]
@@ -113,10 +113,10 @@
     belief = ServerBelief()
     belief.take_rest(103.0)
     assert belief.claim_send(103.0)
-    assert not belief.claim_send(103.0 + RETURN_GAP / 2)
-    assert belief.claim_send(103.0 + RETURN_GAP)  # the first one had no answer
+    assert not belief.claim_send(103.0 + TRIAL_INTERVAL_S / 2)
+    assert belief.claim_send(103.0 + TRIAL_INTERVAL_S)  # the first one had no answer
     belief.note_taken(sent_at=103.0)
-    assert belief.claim_send(103.0 + RETURN_GAP)
+    assert belief.claim_send(103.0 + TRIAL_INTERVAL_S)
 
 
 def test_wait_for_a_server_is_the_longest_of_what_it_asks() -> None:
@@ -127,7 +127,7 @@
     belief.take_rest(103.0)
     assert belief.compute_wait(100.0) == 3.0
     assert belief.claim_send(104.0)
-    assert belief.compute_wait(104.0) == pytest.approx(RETURN_GAP)
+    assert belief.compute_wait(104.0) == pytest.approx(TRIAL_INTERVAL_S)
 
 
 def test_server_that_leaves_is_no_part_of_any_chain() -> None:
--- a/tests/core/traffic/test_startup.py
+++ b/tests/core/traffic/test_startup.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from vaneturn_core.traffic.startup import CLIENT_PATIENCE, FIRST_EVENT_TIME, WAIT_SHARE, compute_first_wait
+from vaneturn_core.traffic.startup import CLIENT_PATIENCE_S, FIRST_EVENT_TIME_S, WAIT_SHARE, compute_first_wait
 
-LONGEST = CLIENT_PATIENCE - FIRST_EVENT_TIME
+LONGEST = CLIENT_PATIENCE_S - FIRST_EVENT_TIME_S
 
 
 @pytest.mark.parametrize(
--- a/tests/core/traffic/test_view.py
+++ b/tests/core/traffic/test_view.py
@@ -5,7 +5,7 @@
 from core.traffic.samples import make_server
 from vaneturn_core.identifiers import Revision, ServiceName
 from vaneturn_core.traffic.configuration import ClientLimits, TrafficConfiguration
-from vaneturn_core.traffic.view import KEYS_MARGIN, LAPSE_HOLD, RETURN_TIME, PlatformView, StoreContact
+from vaneturn_core.traffic.view import KEYS_MARGIN_S, LAPSE_HOLD_S, RETURN_TIME_S, PlatformView, StoreContact
 
 LLM = ServiceName("llm")
 
@@ -35,7 +35,7 @@
     view = PlatformView(5.0, clock)
     assert not view.are_keys_valid()
     view.confirm(clock.now)
-    clock.now += 5.0 - KEYS_MARGIN - 0.01
+    clock.now += 5.0 - KEYS_MARGIN_S - 0.01
     assert view.are_keys_valid()
     clock.now += 0.02
     assert not view.are_keys_valid()
@@ -61,7 +61,7 @@
     clock.now += 3.0
     assert not view.remove_server(server.id)
     view.confirm(clock.now)
-    clock.now += LAPSE_HOLD - 0.01
+    clock.now += LAPSE_HOLD_S - 0.01
     assert view.list_servers(LLM) == [server]
     clock.now += 0.02
     assert not view.list_servers(LLM)  # even before expire_lapsed is called
@@ -77,7 +77,7 @@
     view.note_failure()
     clock.now += 1.0
     view.confirm(clock.now)
-    clock.now += RETURN_TIME + 0.1
+    clock.now += RETURN_TIME_S + 0.1
     assert view.remove_server(server.id)
 
 
--- a/tests/node/traffic/following/test_follower.py
+++ b/tests/node/traffic/following/test_follower.py
@@ -9,7 +9,7 @@
 import pytest
 
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.outage import MAX_RETRY, RELAY_RETRY
+from vaneturn_core.traffic.outage import MAX_RETRY_DELAY_S, RELAY_RETRY_DELAY_S
 from vaneturn_core.traffic.relays import RelayTimes, list_relays
 from vaneturn_core.traffic.view import PlatformView, StoreContact
 from vaneturn_node.platform.store import HistoryGone, NotDone, StorePage, WatchTooLong
@@ -113,7 +113,7 @@
         await anyio.sleep(0.5)
         now = time.monotonic()
         relays.word = RelayedChanges(6, [], StoreContact(now, now - 0.1, now))
-        await anyio.sleep(RELAY_RETRY + MAX_RETRY)
+        await anyio.sleep(RELAY_RETRY_DELAY_S + MAX_RETRY_DELAY_S)
         tasks.cancel_scope.cancel()
     assert not view.contact.is_in_trouble
     assert follower.followed is not None
--- a/tests/node/traffic/servers/test_looks.py
+++ b/tests/node/traffic/servers/test_looks.py
@@ -14,7 +14,7 @@
 
 from node.traffic.servers.test_lossfinding import PARTS, SERVERS, Servers, find_lost, make_finder, make_node
 from rig.virtualtime import VirtualClock, VirtualTimeLoop
-from vaneturn_core.traffic.hearing import PROMPT
+from vaneturn_core.traffic.hearing import PROMPT_ANSWER_S
 from vaneturn_node.http1.link import HttpLink, LinkError
 from vaneturn_node.traffic.servers.exchange import TrafficParts
 
@@ -101,7 +101,7 @@
 @pytest.mark.parametrize(("share", "count"), [(0.9, 12), (1.1, 0)])
 async def test_answers_that_are_not_prompt_say_nothing_of_a_loss(share: float, count: int) -> None:
     """As on a machine too busy to give answers in time: none of twelve streams found the loss of its chain."""
-    servers = Servers(silent=set(range(PARTS)), delay=share * PROMPT)
+    servers = Servers(silent=set(range(PARTS)), delay=share * PROMPT_ANSWER_S)
     assert sum(await look_at_once(make_node(servers), 12)) == count
 
 
--- a/tests/node/traffic/servers/test_lossfinding.py
+++ b/tests/node/traffic/servers/test_lossfinding.py
@@ -18,7 +18,7 @@
 from vaneturn_core.identifiers import RequestId
 from vaneturn_core.traffic.beliefs import ServerBeliefs
 from vaneturn_core.traffic.chain import Chain, Part
-from vaneturn_core.traffic.hearing import PROMPT
+from vaneturn_core.traffic.hearing import PROMPT_ANSWER_S
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.clock import read_clock
 from vaneturn_node.http1.caller import Caller, Failed, Reply
@@ -74,7 +74,7 @@
     started = time.monotonic()
     assert await find_lost(make_finder(parts)) == ([SERVERS[2].address], False)
     assert len(servers.asked) == PARTS
-    assert time.monotonic() - started >= PROMPT
+    assert time.monotonic() - started >= PROMPT_ANSWER_S
 
 
 async def test_nobody_is_lost_while_this_node_hears_nobody() -> None:
--- a/tests/node/traffic/sharing/test_changes.py
+++ b/tests/node/traffic/sharing/test_changes.py
@@ -13,7 +13,7 @@
 from node.traffic.samples import Answer, make_crash_sharing, make_parts, make_sharing
 from vaneturn_core.identifiers import VmId
 from vaneturn_core.traffic.beliefs import ServerBeliefs
-from vaneturn_core.traffic.loads import SUM_AGE, LoadBoard
+from vaneturn_core.traffic.loads import MAX_SUM_AGE_S, LoadBoard
 from vaneturn_core.traffic.relays import RelayTimes
 from vaneturn_core.traffic.servers import ServerId, ServerLoad
 from vaneturn_core.traffic.view import PlatformView
@@ -121,7 +121,7 @@
     relay.board.take_relay(VmId("entry-9"), other.board.sum_followers({}))
     for name, busy in (("entry-2", 3), ("entry-3", 5)):
         relay.hear(StoreItem("servers/i-1", b"entry", 6), revision=6)
-        await anyio.sleep(SUM_AGE)  # one sum serves all that ask at about the same time
+        await anyio.sleep(MAX_SUM_AGE_S)  # one sum serves all that ask at about the same time
         client, board = make_client(Wire(relay.server), name, busy)
         assert await client.ask("relay", 5) is not None
     assert board.find_others(BUSY) == ServerLoad(1 + 3 + 20, 24 * RESERVED)
--- a/tests/node/traffic/sharing/test_crashsharing.py
+++ b/tests/node/traffic/sharing/test_crashsharing.py
@@ -13,7 +13,7 @@
 from rig.traffic import wait_for
 from vaneturn_core.identifiers import VmId
 from vaneturn_core.traffic.contents import Content
-from vaneturn_core.traffic.crashes import MAX_ENDS, CrashBoard, Suspicion
+from vaneturn_core.traffic.crashes import MAX_CRASHES, CrashBoard, Suspicion
 from vaneturn_core.traffic.relays import list_relays
 from vaneturn_core.traffic.servers import ServerId
 from vaneturn_core.traffic.view import PlatformView
@@ -130,7 +130,7 @@
         for node in mesh.nodes.values():
             tasks.start_soon(node.run)
         mesh.cut = set(names)
-        for number in range(MAX_ENDS):
+        for number in range(MAX_CRASHES):
             for name in names:
                 mesh.end(name, f"i-{name}-{number}")
         await anyio.sleep(0.3)
--- a/tests/node/traffic/sharing/test_losssharing.py
+++ b/tests/node/traffic/sharing/test_losssharing.py
@@ -11,7 +11,7 @@
 from core.traffic.samples import make_server
 from node.traffic.samples import make_parts
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.beliefs import FIRST_REST, ServerBeliefs
+from vaneturn_core.traffic.beliefs import FIRST_BACKOFF_S, ServerBeliefs
 from vaneturn_core.traffic.losses import Finding
 from vaneturn_core.traffic.relays import list_relays, rank_relays
 from vaneturn_core.traffic.servers import ServerId
@@ -110,7 +110,7 @@
     node = Node(NODES[0], Fleet())
     for _ in range(5):
         node.parts.note_lost(LOST)
-    assert node.beliefs[LOST].resting_until <= time.monotonic() + FIRST_REST
+    assert node.beliefs[LOST].resting_until <= time.monotonic() + FIRST_BACKOFF_S
 
 
 async def test_server_that_has_worked_since_it_was_found_lost_gets_work_again() -> None:
--- a/tests/rig/ablation.py
+++ b/tests/rig/ablation.py
@@ -26,7 +26,9 @@
 
 
 MECHANISMS = (
-    Mechanism("relays", "calls on the store", (Edit(f"{CORE}/relays.py", "if nodes <= DIRECT_NODES:", "if nodes:"),)),
+    Mechanism(
+        "relays", "calls on the store", (Edit(f"{CORE}/relays.py", "if nodes <= MAX_DIRECT_NODES:", "if nodes:"),)
+    ),
     Mechanism(
         "told-loads",
         "requests of other nodes on the same servers",
@@ -64,7 +66,7 @@
     Mechanism(
         "short-rest-of-full",
         "long rest of a server that only lacks room",
-        (Edit(f"{CORE}/beliefs.py", "if now - self.heard_at > ALIVE_AGE and", "if now > float('-inf') and"),),
+        (Edit(f"{CORE}/beliefs.py", "if now - self.heard_at > ALIVE_AGE_S and", "if now > float('-inf') and"),),
     ),
     Mechanism(
         "detour",
--- a/tests/rig/deadlymodel.py
+++ b/tests/rig/deadlymodel.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 
 from vaneturn_core.traffic.contents import Content
-from vaneturn_core.traffic.crashes import STARTING_TIME, CrashBoard, Suspicion
+from vaneturn_core.traffic.crashes import STARTING_TIME_S, CrashBoard, Suspicion
 from vaneturn_core.traffic.servers import ServerId
 
 STREAM_TIME = 3.3  # seconds of an answer, mean
@@ -138,7 +138,7 @@
 
     def _hear(self, one: _Try) -> None:
         one.heard_at = self.now
-        self._plan(one, STARTING_TIME, lambda: self._prove(one))
+        self._plan(one, STARTING_TIME_S, lambda: self._prove(one))
 
     def _prove(self, one: _Try) -> None:
         one.is_sound = True
--- a/tests/rig/fleetmodel.py
+++ b/tests/rig/fleetmodel.py
@@ -19,7 +19,7 @@
 from vaneturn_core.traffic.chain import Chain
 from vaneturn_core.traffic.chains import ChainChooser
 from vaneturn_core.traffic.configuration import EngineProfile
-from vaneturn_core.traffic.layermap import HOP_TIME, LayerMap, Part
+from vaneturn_core.traffic.layermap import HOP_TIME_S, LayerMap, Part
 from vaneturn_core.traffic.loads import LoadBoard
 from vaneturn_core.traffic.losses import Finding, LossBoard
 from vaneturn_core.traffic.retries import WindowedRetryBudget
@@ -255,7 +255,7 @@
         factor = self._engine.kinds[part.server.kind or ""].step_factor * (part.end - part.first) / self._engine.layers
         held = sum(len(layers) for layers in part.server.layers)
         grown = self._engine.step_growth * self._work[part.server.id].taken / max(1, held)
-        return factor * (self._engine.step + grown) + HOP_TIME
+        return factor * (self._engine.step + grown) + HOP_TIME_S
 
     def _reserve(self, node: _Node, chain: Chain, tokens: float, sign: int) -> None:
         for part in chain.parts:
