--- a/packages/core/src/vaneturn_core/traffic/pace.py
+++ b/packages/core/src/vaneturn_core/traffic/pace.py
@@ -13,12 +13,12 @@
 MIN_PAUSES: Final = 3  # of an answer before a normal pause can be estimated
 
 
-class Stage(Enum):
+class PauseStep(Enum):
     """The steps taken during a pause, in this order."""
 
-    LOOKED = "looked"  # the servers of the chain were probed
+    PROBED = "looked"  # the servers of the chain were probed
     FOUND = "found"  # one of them is known to be lost or stalled
-    WENT_ON = "went_on"  # another server was asked to resume the answer
+    RESUMED = "went_on"  # another server was asked to resume the answer
 
 
 class Pause(Struct, frozen=True):
@@ -40,24 +40,24 @@
         self._deviation = 0.0  # seconds; moving average of the deviation from it
         self._pauses = 0
         self._newest: float | None = None  # monotonic time of the newest event
-        self._stages: dict[Stage, float] = {}
+        self._step_times: dict[PauseStep, float] = {}
 
-    def mark(self, stage: Stage, now: float) -> None:
+    def record_step(self, step: PauseStep, now: float) -> None:
         """Record a step of the current pause; only its first time counts."""
         if self._newest is not None:
-            self._stages.setdefault(stage, now - self._newest)
+            self._step_times.setdefault(step, now - self._newest)
 
-    def find_stage(self, stage: Stage) -> float | None:
+    def get_step_time(self, step: PauseStep) -> float | None:
         """Return the seconds from the beginning of the current pause to a step; none when it was not taken."""
-        return self._stages.get(stage)
+        return self._step_times.get(step)
 
-    def take_event(self, now: float) -> Pause | None:
+    def record_event(self, now: float) -> Pause | None:
         """Record an event and return the pause before it; none for the first event."""
         began, self._newest = self._newest, now
         if began is None:
             return None
-        pause = Pause(began, now - began, **{stage.value: at for stage, at in self._stages.items()})
-        self._stages.clear()
+        pause = Pause(began, now - began, **{step.value: at for step, at in self._step_times.items()})
+        self._step_times.clear()
         if pause.length > self.longest.length:
             self.longest = pause
         if not pause.found:  # pauses caused by a loss are not part of the pace
@@ -72,11 +72,11 @@
         self._deviation += DEVIATION_WEIGHT * (abs(length - self.usual) - self._deviation)
         self.usual += MEAN_WEIGHT * (length - self.usual)
 
-    def explain(self) -> float | None:
+    def estimate_normal_pause(self) -> float | None:
         """Return the longest normal pause in seconds, judging by the pauses so far; none while there are too few."""
         if self._pauses < MIN_PAUSES:
             return None
         return self.usual + MAX_DEVIATIONS * self._deviation
 
 
-__all__ = ["Pause", "Stage", "StreamPace"]
+__all__ = ["Pause", "PauseStep", "StreamPace"]
--- a/packages/core/src/vaneturn_core/traffic/patience.py
+++ b/packages/core/src/vaneturn_core/traffic/patience.py
@@ -31,26 +31,28 @@
 LEARNING_STEP_S: Final = 0.003  # scales how far a longer pause raises the estimate and a shorter one lowers it
 
 
-class Patience:
+class ProbeDelay:
     """Computes when to probe; one instance per node, which learns from all of its answers."""
 
     def __init__(self) -> None:
-        self._returns: deque[float] = deque(maxlen=MAX_RESUME_TIMES)
-        self._ordinary = FIRST_ORDINARY_PAUSE_S  # seconds; nearly all pauses without a loss are shorter
+        self._resume_times: deque[float] = deque(maxlen=MAX_RESUME_TIMES)
+        self._ordinary_pause_s = FIRST_ORDINARY_PAUSE_S  # seconds; nearly all pauses without a loss are shorter
 
-    def take_pause(self, pause: Pause) -> None:
+    def record_pause(self, pause: Pause) -> None:
         """Learn the time to resume an answer, and the length of ordinary pauses."""
         if pause.looked and pause.went_on:
-            self._returns.append(pause.length - pause.looked)
+            self._resume_times.append(pause.length - pause.looked)
         if not pause.found and not pause.went_on:
-            is_longer = pause.length > self._ordinary
-            self._ordinary += LEARNING_STEP_S * ((1 - NEEDLESS_PROBE_SHARE) if is_longer else -NEEDLESS_PROBE_SHARE)
+            is_longer = pause.length > self._ordinary_pause_s
+            self._ordinary_pause_s += LEARNING_STEP_S * (
+                (1 - NEEDLESS_PROBE_SHARE) if is_longer else -NEEDLESS_PROBE_SHARE
+            )
 
-    def estimate_return(self) -> float:
+    def estimate_resume_time(self) -> float:
         """Estimate the seconds from the probe until the answer resumes, if a server was lost."""
-        if len(self._returns) < MIN_RESUME_TIMES:
+        if len(self._resume_times) < MIN_RESUME_TIMES:
             return ASSUMED_RESUME_S
-        return sorted(self._returns)[int(RESUME_QUANTILE * (len(self._returns) - 1))]
+        return sorted(self._resume_times)[int(RESUME_QUANTILE * (len(self._resume_times) - 1))]
 
     def compute(self, pace: StreamPace, objective: float | None) -> float:
         """Compute the seconds without an event after which the servers are probed.
@@ -58,10 +60,12 @@
         :param objective: longest pause that the caller accepts, in seconds; none when the route does not set it.
         """
         longest = max(MAX_SILENCE_S, MAX_SILENCE_PAUSES * pace.usual)
-        explained = pace.explain()
-        if objective is None or explained is None:
+        normal_pause = pace.estimate_normal_pause()
+        if objective is None or normal_pause is None:
             return longest
-        return min(longest, max(MIN_SILENCE_S, explained, self._ordinary, objective - self.estimate_return()))
+        return min(
+            longest, max(MIN_SILENCE_S, normal_pause, self._ordinary_pause_s, objective - self.estimate_resume_time())
+        )
 
 
 __all__ = [
@@ -70,5 +74,5 @@
     "MAX_SILENCE_S",
     "MIN_SILENCE_S",
     "NEEDLESS_PROBE_SHARE",
-    "Patience",
+    "ProbeDelay",
 ]
--- a/packages/node/src/vaneturn_node/traffic/servers/exchange.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/exchange.py
@@ -18,7 +18,7 @@
 from vaneturn_core.traffic.layermap import LayerMap
 from vaneturn_core.traffic.loads import LoadBoard
 from vaneturn_core.traffic.losses import LossBoard
-from vaneturn_core.traffic.patience import Patience
+from vaneturn_core.traffic.patience import ProbeDelay
 from vaneturn_core.traffic.ratelimits import NodeHistory, PermitIssuer, RateLimits
 from vaneturn_core.traffic.retries import WindowedRetryBudget
 from vaneturn_core.traffic.servers import BackendServer, ServerId
@@ -59,7 +59,7 @@
     board: LoadBoard = field(default_factory=lambda: LoadBoard(read_clock))
     arrivals: ArrivalRate = field(default_factory=lambda: ArrivalRate(read_clock))  # of streams
     first_reading: FirstReading = field(default_factory=FirstReading)
-    patience: Patience = field(default_factory=Patience)
+    patience: ProbeDelay = field(default_factory=ProbeDelay)
     limits: RateLimits = field(default_factory=RateLimits)
     permits: Permits = field(init=False)
     directives: DirectiveKeeper = field(init=False)
--- a/packages/node/src/vaneturn_node/traffic/serving/clientstream.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/clientstream.py
@@ -49,7 +49,7 @@
         now = read_clock()
         if self.first_at is None:
             self.first_at = now
-        pause = self.pace.take_event(now)
+        pause = self.pace.record_event(now)
         if pause is not None:
             self._on_pause(pause)
         await self._begin()
--- a/packages/node/src/vaneturn_node/traffic/serving/repair.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/repair.py
@@ -5,7 +5,7 @@
 from typing import Final, Protocol
 
 from vaneturn_core.traffic.chain import Part
-from vaneturn_core.traffic.pace import Stage
+from vaneturn_core.traffic.pace import PauseStep
 from vaneturn_node.clock import read_clock
 from vaneturn_node.platform.servers import OrderOutcome
 from vaneturn_node.traffic.servers.exchange import TrafficParts
@@ -61,11 +61,11 @@
         :raises TryOverError: another try has taken the place of this one, or it cannot go on.
         """
         pace = self._client.pace
-        pace.mark(Stage.LOOKED, read_clock())
-        borne = pace.find_stage(Stage.LOOKED)
+        pace.record_step(PauseStep.PROBED, read_clock())
+        borne = pace.get_step_time(PauseStep.PROBED)
         losses = await self._finder.find(self._hold.chain, usual_pause=pace.usual, borne=borne)
         if losses.is_first_gone or losses.parts:
-            pace.mark(Stage.FOUND, read_clock())
+            pace.record_step(PauseStep.FOUND, read_clock())
         if losses.is_first_gone:
             await self._pass_lost_first()
         elif self._hold.chain.parts[0] in losses.parts:
@@ -98,7 +98,7 @@
                 return
             if chain.count_crossings() > self._hold.chain.count_crossings():
                 await self._move("another hall reads the prompt sooner than it crosses the pipe", is_gone=False)
-            self._client.pace.mark(Stage.WENT_ON, read_clock())
+            self._client.pace.record_step(PauseStep.RESUMED, read_clock())
             outcome = await self._hold.order_detour(chain)
             if outcome is OrderOutcome.TAKEN:
                 return
--- a/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
@@ -16,7 +16,7 @@
 from vaneturn_core.traffic.chain import Chain
 from vaneturn_core.traffic.chains import ChainChooser
 from vaneturn_core.traffic.crashes import STARTING_TIME_S, Suspicion
-from vaneturn_core.traffic.pace import Stage
+from vaneturn_core.traffic.pace import PauseStep
 from vaneturn_core.traffic.servers import BackendServer
 from vaneturn_node.clock import read_clock
 from vaneturn_node.http1.link import AnswerHead, HttpLink, LinkError
@@ -115,7 +115,7 @@
             self._parts.find_budget(work.service).take_back(is_first=not work.sends)
             return NotRun(f"{self._first.id} has no room by its rate limit", is_limited=True)
         work.sends += 1
-        self._client.pace.mark(Stage.WENT_ON, read_clock())
+        self._client.pace.record_step(PauseStep.RESUMED, read_clock())
         self._hold.take()
         self._link = link = await self._parts.pool.take(self._first.address)
         obstacle = work.find_obstacle(self._parts.beliefs[self._first.id])
--- a/tests/core/traffic/test_patience.py
+++ b/tests/core/traffic/test_patience.py
@@ -14,7 +14,7 @@
     MAX_SILENCE_S,
     MIN_SILENCE_S,
     NEEDLESS_PROBE_SHARE,
-    Patience,
+    ProbeDelay,
 )
 
 QUESTION = 0.03  # seconds until a server without an answer counts as unresponsive, given the answers of the others
@@ -30,53 +30,53 @@
 def make_pace(pauses: list[float]) -> StreamPace:
     pace = StreamPace()
     now = 0.0
-    pace.take_event(now)
+    pace.record_event(now)
     for pause in pauses:
         now += pause
-        pace.take_event(now)
+        pace.record_event(now)
     return pace
 
 
 def test_caller_that_says_nothing_gets_the_usual_patience() -> None:
-    assert Patience().compute(make_pace([0.025] * 9), None) == MAX_SILENCE_S
+    assert ProbeDelay().compute(make_pace([0.025] * 9), None) == MAX_SILENCE_S
 
 
 def test_patience_leaves_the_time_to_go_on() -> None:
-    assert Patience().compute(make_pace([0.025] * 9), 0.25) == pytest.approx(0.25 - ASSUMED_RESUME_S)
+    assert ProbeDelay().compute(make_pace([0.025] * 9), 0.25) == pytest.approx(0.25 - ASSUMED_RESUME_S)
 
 
 def test_patience_is_never_longer_for_a_caller_that_bears_more() -> None:
-    assert Patience().compute(make_pace([0.025] * 9), 5.0) == MAX_SILENCE_S
+    assert ProbeDelay().compute(make_pace([0.025] * 9), 5.0) == MAX_SILENCE_S
 
 
 def test_patience_is_what_the_pace_explains_at_least() -> None:
     pace = make_pace([0.02, 0.04] * 10)
-    explained = pace.explain()
-    assert explained is not None
-    assert Patience().compute(pace, 0.15) == pytest.approx(min(MAX_SILENCE_S, explained))
+    normal_pause = pace.estimate_normal_pause()
+    assert normal_pause is not None
+    assert ProbeDelay().compute(pace, 0.15) == pytest.approx(min(MAX_SILENCE_S, normal_pause))
 
 
 def test_slow_answers_are_given_longer() -> None:
-    assert Patience().compute(make_pace([0.09] * 9), 0.2) >= 0.09
+    assert ProbeDelay().compute(make_pace([0.09] * 9), 0.2) >= 0.09
 
 
 def test_patience_learns_what_going_on_costs() -> None:
-    patience = Patience()
+    patience = ProbeDelay()
     for _ in range(8):
-        patience.take_pause(Pause(0.0, 0.16, looked=0.06, found=0.1, went_on=0.1))
-    assert patience.estimate_return() == pytest.approx(0.1)
+        patience.record_pause(Pause(0.0, 0.16, looked=0.06, found=0.1, went_on=0.1))
+    assert patience.estimate_resume_time() == pytest.approx(0.1)
     assert patience.compute(make_pace([0.025] * 9), 0.2) == pytest.approx(0.1)
-    patience.take_pause(Pause(0.0, 5.0))  # no server was asked to resume
-    assert patience.estimate_return() == pytest.approx(0.1)
+    patience.record_pause(Pause(0.0, 5.0))  # no server was asked to resume
+    assert patience.estimate_resume_time() == pytest.approx(0.1)
 
 
 def test_patience_has_a_floor() -> None:
-    patience = Patience()
+    patience = ProbeDelay()
     for _ in range(8):
-        patience.take_pause(Pause(0.0, 1.5, looked=0.1, found=0.2, went_on=0.3))
+        patience.record_pause(Pause(0.0, 1.5, looked=0.1, found=0.2, went_on=0.3))
     assert patience.compute(make_pace([0.01] * 20), 0.2) == FIRST_ORDINARY_PAUSE_S
     for _ in range(8000):
-        patience.take_pause(Pause(0.0, 0.01))
+        patience.record_pause(Pause(0.0, 0.01))
     assert patience.compute(make_pace([0.01] * 20), 0.2) == MIN_SILENCE_S
 
 
@@ -96,22 +96,22 @@
     responding at a random moment.
     """
     rng = random.Random(seed)
-    patience = Patience()
+    patience = ProbeDelay()
     late = looks = 0
     for _ in range(STREAMS):
         pace, now = StreamPace(), 0.0
-        pace.take_event(now)
+        pace.record_event(now)
         for _ in range(rng.randint(10, 70)):
             pause = rng.gauss(0.025, 0.003) + (HICCUP if rng.random() < 0.05 else 0.0)
             looks += pause > patience.compute(pace, objective)
             now += pause
-            ordinary = pace.take_event(now)
+            ordinary = pace.record_event(now)
             assert ordinary is not None
-            patience.take_pause(ordinary)
+            patience.record_pause(ordinary)
         looked = patience.compute(pace, objective)
         found = looked + question
         length = found + draw_reading(rng)
-        patience.take_pause(Pause(now, length, looked, found, found))
+        patience.record_pause(Pause(now, length, looked, found, found))
         late += length > 0.2
     return late / STREAMS, looks / STREAMS
 
@@ -131,13 +131,13 @@
 
 def test_silences_that_mean_nothing_become_ordinary() -> None:
     """When one pass in ten is delayed by 50 ms, the time before a probe grows until few of these are probed."""
-    patience = Patience()
+    patience = ProbeDelay()
     rng = random.Random(1)
     looks = []
     for _ in range(4000):
         pace = make_pace([0.025] * 9)
         pause = 0.075 if rng.random() < 0.1 else 0.025
         looks.append(pause > patience.compute(pace, 0.2))
-        patience.take_pause(Pause(0.0, pause))
+        patience.record_pause(Pause(0.0, pause))
     assert sum(looks[-2000:]) < sum(looks[:2000])
     assert sum(looks[-2000:]) / 2000 < 0.01
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -371,7 +371,7 @@
     Proof(
         "a silence is borne for what the caller leaves",
         "tests/core/traffic/test_patience.py::test_streams_over_a_lost_server_go_on_in_time[1]",
-        (Edit(f"{CORE}/patience.py", "if objective is None or explained is None:", "if True:"),),
+        (Edit(f"{CORE}/patience.py", "if objective is None or normal_pause is None:", "if True:"),),
     ),
     Proof(
         "a look ends beside the answers of most others",
