--- a/packages/core/src/vaneturn_core/traffic/beliefs.py
+++ b/packages/core/src/vaneturn_core/traffic/beliefs.py
@@ -140,7 +140,7 @@
             return
         self.full_until = max(self.full_until, now + FULL_BACKOFF_S)
 
-    def take_told_loss(self, until: float, now: float) -> bool:
+    def record_reported_loss(self, until: float, now: float) -> bool:
         """Adopt the backoff of other nodes; false when a token came just now or the backoff is no longer than known."""
         if now - self.heard_at <= ALIVE_AGE_S or until <= self.resting_until:
             return False
--- a/packages/core/src/vaneturn_core/traffic/chains.py
+++ b/packages/core/src/vaneturn_core/traffic/chains.py
@@ -191,7 +191,7 @@
         loads = {}
         for server in eligible:
             belief = self._beliefs[server.id]
-            others = self._board.find_others(server.id) if self._board is not None else None
+            others = self._board.get_others(server.id) if self._board is not None else None
             if others is None:
                 used, leading = belief.reserved * self._share, belief.leading * self._share
             else:
--- a/packages/core/src/vaneturn_core/traffic/loads.py
+++ b/packages/core/src/vaneturn_core/traffic/loads.py
@@ -28,17 +28,17 @@
         self._summed_at = float("-inf")
         self._has_new_report = False  # a report arrived since the last sum
 
-    def take_follower(self, vm: VmId, loads: Loads) -> None:
+    def record_follower(self, vm: VmId, loads: Loads) -> None:
         """Record the load of a follower, a node that gets its changes from this relay."""
         self._followers[vm] = (self._clock(), loads)
         self._note_report()
 
-    def take_relay(self, vm: VmId, loads: Loads) -> None:
+    def record_relay(self, vm: VmId, loads: Loads) -> None:
         """Record the load of another relay and of its followers."""
         self._relays[vm] = (self._clock(), loads)
         self._note_report()
 
-    def take_total(self, total: Loads, told: Loads) -> None:
+    def record_total(self, total: Loads, told: Loads) -> None:
         """Record the load of all nodes as given by a relay, less what this node had reported to it."""
         self._followers.clear()
         self._relays.clear()
@@ -54,7 +54,7 @@
         """Sum the load of all nodes."""
         return _sum([own, *self._list_fresh(self._followers), *self._list_fresh(self._relays)])
 
-    def find_others(self, server: ServerId) -> ServerLoad | None:
+    def get_others(self, server: ServerId) -> ServerLoad | None:
         """Return the load of the other nodes on a server; none without a recent report."""
         now = self._clock()
         if now > self._others_until:
--- a/packages/core/src/vaneturn_core/traffic/losses.py
+++ b/packages/core/src/vaneturn_core/traffic/losses.py
@@ -41,15 +41,15 @@
         self._relays: dict[VmId, tuple[float, Findings]] = {}
         self.version = 0  # rises with each report that changes the confirmed losses
 
-    def take_follower(self, vm: VmId, findings: Findings, own: Findings) -> None:
+    def record_follower(self, vm: VmId, findings: Findings, own: Findings) -> None:
         """Record the findings of a follower."""
         self._take(self._followers, vm, findings, own)
 
-    def take_relay(self, vm: VmId, findings: Findings, own: Findings) -> None:
+    def record_relay(self, vm: VmId, findings: Findings, own: Findings) -> None:
         """Record the findings of another relay and its followers."""
         self._take(self._relays, vm, findings, own)
 
-    def join_followers(self, own: Findings) -> dict[ServerId, Finding]:
+    def merge_followers(self, own: Findings) -> dict[ServerId, Finding]:
         """Merge the findings of this node and its followers."""
         return _join([own, *self._list_fresh(self._followers)])
 
--- a/packages/core/src/vaneturn_core/traffic/outage.py
+++ b/packages/core/src/vaneturn_core/traffic/outage.py
@@ -23,7 +23,7 @@
     return random.uniform(0, min(MAX_RETRY_DELAY_S, RETRY_DELAY_S * 2**failures))
 
 
-def draw_direct_retry(nodes: int, shortest_bound: float) -> float:
+def draw_store_retry(nodes: int, shortest_bound: float) -> float:
     """Draw the seconds for which a node does not call the store itself while the relays are out of touch as well.
 
     :param nodes: number of nodes that share the store.
@@ -34,4 +34,4 @@
     return random.uniform(longest / 2, longest)
 
 
-__all__ = ["MAX_RETRY_DELAY_S", "RELAY_RETRY_DELAY_S", "draw_direct_retry", "draw_retry"]
+__all__ = ["MAX_RETRY_DELAY_S", "RELAY_RETRY_DELAY_S", "draw_retry", "draw_store_retry"]
--- a/packages/core/src/vaneturn_core/traffic/ratelimits.py
+++ b/packages/core/src/vaneturn_core/traffic/ratelimits.py
@@ -51,7 +51,7 @@
         """List the servers that currently have a limit, with their rates."""
         return {server: limit.rate for server, limit in self._limits.items() if limit.rate is not None}
 
-    def list_news(self, now: float) -> dict[ServerId, RateLimit]:
+    def list_changes(self, now: float) -> dict[ServerId, RateLimit]:
         """List the recently changed limits for other nodes, the newest first."""
         news = [(server, limit) for server, limit in self._limits.items() if limit.since > now - CHANGE_REPORT_TIME_S]
         return dict(sorted(news, key=lambda item: item[1].since, reverse=True)[:MAX_REPORTED_CHANGES])
@@ -73,7 +73,7 @@
         if is_limit_lower or sent_at > known.at:
             self._limits[server] = RateLimit(rate, now, known.since if rate == known.rate else now)
 
-    def take_told(self, server: ServerId, rate: float | None, at: float, now: float) -> RateLimit:
+    def record_report(self, server: ServerId, rate: float | None, at: float, now: float) -> RateLimit:
         """Record a limit that another node reported, unless this node knows a newer one; return the newer one.
 
         :param at: monotonic time of the answer that set the limit.
--- a/packages/core/src/vaneturn_core/traffic/view.py
+++ b/packages/core/src/vaneturn_core/traffic/view.py
@@ -62,7 +62,7 @@
         return self._clock() - self.contact.confirmed_at
 
     @property
-    def told_age(self) -> float:
+    def finite_age(self) -> float:
         """Return the age for logs and operators, which need a finite number."""
         return min(self.age, MAX_SHOWN_AGE_S)
 
@@ -88,7 +88,7 @@
         """Record that a call to the store failed."""
         self.contact = dataclasses.replace(self.contact, failed_at=self._clock())
 
-    def adopt_contact(self, contact: StoreContact) -> None:
+    def merge_contact(self, contact: StoreContact) -> None:
         """Merge the contact that another node has had with the store.
 
         A failure that only one node sees is no outage of the store: that node may be cut off itself, and then the entry
--- a/packages/node/src/vaneturn_node/traffic/following/follower.py
+++ b/packages/node/src/vaneturn_node/traffic/following/follower.py
@@ -9,7 +9,7 @@
 import anyio
 
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.outage import RELAY_RETRY_DELAY_S, draw_direct_retry, draw_retry
+from vaneturn_core.traffic.outage import RELAY_RETRY_DELAY_S, draw_retry, draw_store_retry
 from vaneturn_core.traffic.relays import RelayTimes, rank_relays
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.clock import read_clock
@@ -116,7 +116,7 @@
     def _leave_to_relays(self) -> None:
         """Leave the store, which is away for the relays as well, to them for a while, and ask them soon."""
         now = read_clock()
-        self._direct_from = now + draw_direct_retry(self._view.count_nodes(), self._times.bound)
+        self._direct_from = now + draw_store_retry(self._view.count_nodes(), self._times.bound)
         self._rests.update(dict.fromkeys(self._out_of_touch, now + RELAY_RETRY_DELAY_S))
 
     def _choose_relay(self) -> VmId | None:
@@ -137,7 +137,7 @@
         self._out_of_touch.clear()
         self._direct_from = float("-inf")
         self._note_followed(relay)
-        self._view.adopt_contact(told.contact)
+        self._view.merge_contact(told.contact)
         self._take(items, told.revision)
         if items:
             await anyio.sleep(self._times.gather)
--- a/packages/node/src/vaneturn_node/traffic/process/inspection.py
+++ b/packages/node/src/vaneturn_node/traffic/process/inspection.py
@@ -66,7 +66,7 @@
         view = self._parts.view
         beliefs, now = self._parts.beliefs, read_clock()
         gauges = Gauges(
-            age=view.told_age,
+            age=view.finite_age,
             ends=len(self._parts.crashes.list_ends()),
             servers=len(view.servers),
             limited=len(self._parts.limits.list_limited()),
@@ -80,7 +80,7 @@
             vm=self._vm,
             node=self._node,
             version=view.configuration.version if view.configuration is not None else None,
-            age=round(view.told_age, 3),
+            age=round(view.finite_age, 3),
             is_ready=not self._lifecycle.is_stopping and view.is_ready(),
             is_stopping=self._lifecycle.is_stopping,
             has_tenure=self._tenure.is_sure(),
--- a/packages/node/src/vaneturn_node/traffic/servers/permits.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/permits.py
@@ -84,7 +84,7 @@
             self._beliefs[server].permit_at = read_clock() + NO_ISSUER_WAIT
             return False
         now = read_clock()
-        if self._limits.take_told(server, reply.rate, now - reply.age, now).rate is None:
+        if self._limits.record_report(server, reply.rate, now - reply.age, now).rate is None:
             return True
         self._beliefs[server].permit_at = read_clock() + min(reply.wait, MAX_WAIT)
         return reply.wait <= 0
@@ -98,7 +98,7 @@
     def list_news(self) -> list[ToldLimit]:
         """List the limits that have changed lately."""
         now = read_clock()
-        news = self._limits.list_news(now)
+        news = self._limits.list_changes(now)
         return [ToldLimit(server, limit.rate, max(0.0, now - limit.at)) for server, limit in news.items()]
 
     def take_news(self, told: Iterable[ToldLimit]) -> None:
@@ -107,7 +107,7 @@
         for one in told:
             server = ServerId(one.server)
             if self._is_sound(server, one.rate, one.age):
-                self._limits.take_told(server, one.rate, now - one.age, now)
+                self._limits.record_report(server, one.rate, now - one.age, now)
 
     def _is_sound(self, server: ServerId, rate: float | None, age: float) -> bool:
         if server in self._view.servers and age >= 0 and (rate is None or 0 < rate < math.inf):
@@ -129,7 +129,7 @@
 
     def _issue(self, server: ServerId, rate: float | None, age: float) -> PermitReply:
         now = read_clock()
-        newest = self._limits.take_told(server, rate, now - age, now)
+        newest = self._limits.record_report(server, rate, now - age, now)
         wait = self._issuer.issue(server, newest.rate) if newest.rate is not None else 0.0
         return PermitReply(wait, newest.rate, max(0.0, read_clock() - newest.at))
 
--- a/packages/node/src/vaneturn_node/traffic/serving/answering.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/answering.py
@@ -180,7 +180,7 @@
             ending=ending,
             seconds=round(seconds, 3),
             version=configuration.version if configuration is not None else None,
-            age=round(self._parts.view.told_age, 3),
+            age=round(self._parts.view.finite_age, 3),
             steps=work.steps if work is not None else [],
             reason=result.reason.value if isinstance(result, OwnAnswer) else "",
             cause=result.cause if isinstance(result, OwnAnswer) else "",
--- a/packages/node/src/vaneturn_node/traffic/sharing/changeclient.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changeclient.py
@@ -95,7 +95,7 @@
             return NoChanges.NO_ANSWER
         total = unpack_total(word.loads, self._view.servers)
         if total is not None:
-            self._board.take_total(total, loads)
+            self._board.record_total(total, loads)
         self._losses.take_confirmed(word.losses, address)
         self._permits.take_news(word.limits)
         return RelayedChanges(word.revision, word.changes, contact)
--- a/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
@@ -97,7 +97,7 @@
             self._crashes.compare(told.vm, told.crashes)
             self._permits.take_news(told.limits)
         if request.path == LOADS_PATH and told is not None:
-            self._board.take_relay(told.vm, told.loads)
+            self._board.record_relay(told.vm, told.loads)
             await answer.send_whole(OK, [], b"")
             return
         since = query.get("since", [""])[0]
@@ -105,7 +105,7 @@
             await answer.send_whole(404, [], b"")
             return
         if told is not None:
-            self._board.take_follower(told.vm, told.loads)
+            self._board.record_follower(told.vm, told.loads)
         await self._answer_changes(int(since), request.arrived, answer)
 
     async def _answer_changes(self, since: int, arrived: float, answer: ClientAnswer) -> None:
--- a/packages/node/src/vaneturn_node/traffic/sharing/losssharing.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/losssharing.py
@@ -69,9 +69,9 @@
             return
         before = self.version
         if word.vm in list_relays(self._parts.view.nodes):
-            self._parts.losses.take_relay(word.vm, findings, self._list_own())
+            self._parts.losses.record_relay(word.vm, findings, self._list_own())
         else:
-            self._parts.losses.take_follower(word.vm, findings, self._list_own())
+            self._parts.losses.record_follower(word.vm, findings, self._list_own())
             self._parts.loss_found.give()
         if self.version != before:
             self._adopt(self._parts.losses.list_confirmed(self._list_own()), word.vm)
@@ -98,7 +98,7 @@
             if beliefs[server].told_until == self._adopted[server]:
                 beliefs[server].told_until = float("-inf")
         self._adopted = dict(confirmed)
-        taken = [server for server, until in confirmed.items() if beliefs[server].take_told_loss(until, now)]
+        taken = [server for server, until in confirmed.items() if beliefs[server].record_reported_loss(until, now)]
         if taken:
             rests = [round(confirmed[server] - now, 3) for server in taken]
             logger.info("losses told", extra={"servers": taken, "rests": rests, "teller": teller})
@@ -111,7 +111,7 @@
         nodes = self._parts.view.nodes
         ranked = rank_relays(self._vm, nodes)
         targets = ranked[:1] or [relay for relay in list_relays(nodes) if relay != self._vm]
-        findings = self._list_own() if ranked else self._parts.losses.join_followers(self._list_own())
+        findings = self._list_own() if ranked else self._parts.losses.merge_followers(self._list_own())
         if not findings and not self._has_told:
             return
         self._has_told = bool(findings)
--- a/tests/core/traffic/test_chains.py
+++ b/tests/core/traffic/test_chains.py
@@ -199,13 +199,13 @@
     now = [100.0]
     beliefs, board = ServerBeliefs(), LoadBoard(lambda: now[0])
     beliefs[fleet[0].id].leading = fleet[0].slots // 8
-    board.take_follower(VmId("entry-2"), {})
+    board.record_follower(VmId("entry-2"), {})
     chooser = make_chooser(fleet, beliefs, board=board)
     free = chooser.choose(fleet)
     assert free is not None
     assert free.first is fleet[0]
     now[0] += 2 * MAX_SUM_AGE_S
-    board.take_follower(VmId("entry-2"), {fleet[0].id: ServerLoad(fleet[0].slots, 0.0)})
+    board.record_follower(VmId("entry-2"), {fleet[0].id: ServerLoad(fleet[0].slots, 0.0)})
     full = make_chooser(fleet, beliefs, board=board).choose(fleet)
     assert full is not None
     assert full.first is fleet[1]
--- a/tests/core/traffic/test_loads.py
+++ b/tests/core/traffic/test_loads.py
@@ -18,32 +18,32 @@
 
 
 def test_nothing_is_known_before_anybody_has_told() -> None:
-    assert LoadBoard(Clock()).find_others(ONE) is None
+    assert LoadBoard(Clock()).get_others(ONE) is None
 
 
 def test_newest_word_of_a_node_replaces_the_one_before() -> None:
     board = LoadBoard(Clock())
-    board.take_follower(VmId("entry-2"), {ONE: ServerLoad(3, 30.0)})
-    board.take_follower(VmId("entry-2"), {ONE: ServerLoad(1, 10.0)})
-    board.take_follower(VmId("entry-3"), {ONE: ServerLoad(2, 20.0), OTHER: ServerLoad(0, 5.0)})
-    assert board.find_others(ONE) == ServerLoad(3, 30.0)
+    board.record_follower(VmId("entry-2"), {ONE: ServerLoad(3, 30.0)})
+    board.record_follower(VmId("entry-2"), {ONE: ServerLoad(1, 10.0)})
+    board.record_follower(VmId("entry-3"), {ONE: ServerLoad(2, 20.0), OTHER: ServerLoad(0, 5.0)})
+    assert board.get_others(ONE) == ServerLoad(3, 30.0)
     assert board.sum_followers({OTHER: ServerLoad(1, 1.0)})[OTHER] == ServerLoad(1, 6.0)
 
 
 def test_total_of_a_relay_counts_without_the_own_part() -> None:
     board = LoadBoard(Clock())
-    board.take_total({ONE: ServerLoad(9, 90.0), OTHER: ServerLoad(4, 40.0)}, {ONE: ServerLoad(2, 20.0)})
-    assert board.find_others(ONE) == ServerLoad(7, 70.0)
-    assert board.find_others(OTHER) == ServerLoad(4, 40.0)
+    board.record_total({ONE: ServerLoad(9, 90.0), OTHER: ServerLoad(4, 40.0)}, {ONE: ServerLoad(2, 20.0)})
+    assert board.get_others(ONE) == ServerLoad(7, 70.0)
+    assert board.get_others(OTHER) == ServerLoad(4, 40.0)
 
 
 def test_old_word_counts_for_nothing() -> None:
     clock = Clock()
     board = LoadBoard(clock)
-    board.take_follower(VmId("entry-2"), {ONE: ServerLoad(3, 30.0)})
+    board.record_follower(VmId("entry-2"), {ONE: ServerLoad(3, 30.0)})
     clock.now += MAX_REPORT_AGE_S - 0.1
-    board.take_relay(VmId("entry-3"), {OTHER: ServerLoad(1, 10.0)})
+    board.record_relay(VmId("entry-3"), {OTHER: ServerLoad(1, 10.0)})
     clock.now += 0.2
     assert board.sum_all({}) == {OTHER: ServerLoad(1, 10.0)}
     clock.now += MAX_REPORT_AGE_S
-    assert board.find_others(ONE) is None
+    assert board.get_others(ONE) is None
--- a/tests/core/traffic/test_losses.py
+++ b/tests/core/traffic/test_losses.py
@@ -26,42 +26,42 @@
 
 
 def test_word_of_one_node_confirms_nothing(board: LossBoard) -> None:
-    board.take_follower(VmId("entry-2"), {LOST: Finding(103.0)}, {})
-    board.take_follower(VmId("entry-2"), {LOST: Finding(104.0)}, {})
+    board.record_follower(VmId("entry-2"), {LOST: Finding(103.0)}, {})
+    board.record_follower(VmId("entry-2"), {LOST: Finding(104.0)}, {})
     assert board.list_confirmed({}) == {}
     assert board.version == 0
 
 
 def test_two_nodes_confirm_a_loss_for_as_long_as_both_leave_it_alone(board: LossBoard) -> None:
-    board.take_follower(VmId("entry-2"), {LOST: Finding(103.0), OTHER: Finding(103.0)}, {})
-    board.take_follower(VmId("entry-3"), {LOST: Finding(101.4)}, {})
+    board.record_follower(VmId("entry-2"), {LOST: Finding(103.0), OTHER: Finding(103.0)}, {})
+    board.record_follower(VmId("entry-3"), {LOST: Finding(101.4)}, {})
     assert board.list_confirmed({}) == {LOST: 101.4}
     assert board.version == 1
 
 
 def test_own_finding_is_one_of_the_two(board: LossBoard) -> None:
     own = {LOST: Finding(100.7)}
-    board.take_follower(VmId("entry-2"), {LOST: Finding(103.0)}, own)
+    board.record_follower(VmId("entry-2"), {LOST: Finding(103.0)}, own)
     assert board.list_confirmed(own) == {LOST: 100.7}
 
 
 def test_nodes_behind_two_relays_confirm_a_loss(board: LossBoard) -> None:
-    board.take_relay(VmId("entry-8"), {LOST: Finding(103.0)}, {})
-    board.take_relay(VmId("entry-9"), {LOST: Finding(102.0)}, {})
+    board.record_relay(VmId("entry-8"), {LOST: Finding(103.0)}, {})
+    board.record_relay(VmId("entry-9"), {LOST: Finding(102.0)}, {})
     assert board.list_confirmed({}) == {LOST: 102.0}
-    assert board.join_followers({}) == {}, "a relay reports only what it and its followers have found"
+    assert board.merge_followers({}) == {}, "a relay reports only what it and its followers have found"
 
 
 def test_two_nodes_behind_one_relay_confirm_a_loss(board: LossBoard) -> None:
-    board.take_relay(VmId("entry-9"), {LOST: Finding(103.0, 102.0)}, {})
+    board.record_relay(VmId("entry-9"), {LOST: Finding(103.0, 102.0)}, {})
     assert board.list_confirmed({}) == {LOST: 102.0}
 
 
 def test_old_word_and_ended_rest_count_for_nothing() -> None:
     clock = Clock()
     board = LossBoard(clock)
-    board.take_follower(VmId("entry-2"), {LOST: Finding(108.0), OTHER: Finding(100.7)}, {})
-    board.take_follower(VmId("entry-3"), {LOST: Finding(108.0), OTHER: Finding(100.7)}, {})
+    board.record_follower(VmId("entry-2"), {LOST: Finding(108.0), OTHER: Finding(100.7)}, {})
+    board.record_follower(VmId("entry-3"), {LOST: Finding(108.0), OTHER: Finding(100.7)}, {})
     clock.now += 1.0
     assert board.list_confirmed({}) == {LOST: 108.0}
     clock.now += MAX_REPORT_AGE_S
@@ -71,14 +71,14 @@
 def test_told_loss_does_not_count_against_a_server_that_works_for_this_node() -> None:
     beliefs = ServerBeliefs()
     beliefs[LOST].record_token(99.9)
-    assert not beliefs[LOST].take_told_loss(103.0, 100.0)
-    assert beliefs[LOST].take_told_loss(103.0, 100.0 + ALIVE_AGE_S)
+    assert not beliefs[LOST].record_reported_loss(103.0, 100.0)
+    assert beliefs[LOST].record_reported_loss(103.0, 100.0 + ALIVE_AGE_S)
     assert beliefs[LOST].resting_until == 103.0
 
 
 def test_told_loss_is_not_told_on_as_an_own_finding() -> None:
     beliefs = ServerBeliefs()
-    beliefs[LOST].take_told_loss(103.0, 100.0)
+    beliefs[LOST].record_reported_loss(103.0, 100.0)
     beliefs[OTHER].record_failure(100.0)
     assert set(beliefs.list_found(100.1)) == {OTHER}
     beliefs[OTHER].record_token(100.2)
--- a/tests/core/traffic/test_outage.py
+++ b/tests/core/traffic/test_outage.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from vaneturn_core.traffic.outage import MAX_RETRY_DELAY_S, RELAY_RETRY_DELAY_S, draw_direct_retry, draw_retry
+from vaneturn_core.traffic.outage import MAX_RETRY_DELAY_S, RELAY_RETRY_DELAY_S, draw_retry, draw_store_retry
 from vaneturn_core.traffic.relays import count_relays
 
 BOUND = 3.0  # seconds
@@ -14,12 +14,12 @@
 
 
 def test_few_nodes_ask_as_often_as_one_alone() -> None:
-    assert all(MAX_RETRY_DELAY_S / 2 <= draw_direct_retry(8, BOUND) <= MAX_RETRY_DELAY_S for _ in range(50))
+    assert all(MAX_RETRY_DELAY_S / 2 <= draw_store_retry(8, BOUND) <= MAX_RETRY_DELAY_S for _ in range(50))
 
 
 @pytest.mark.parametrize("nodes", [64, 195, 390])
 def test_no_node_leaves_the_store_to_relays_for_longer_than_the_bound(nodes: int) -> None:
-    assert all(draw_direct_retry(nodes, BOUND) <= BOUND for _ in range(50))
+    assert all(draw_store_retry(nodes, BOUND) <= BOUND for _ in range(50))
 
 
 def play_outage(nodes: int, *, leaves_it_to_relays: bool) -> tuple[int, float]:
@@ -33,7 +33,7 @@
         while now < OUTAGE:
             if node < relays or not leaves_it_to_relays or now >= direct_from:
                 calls += 1
-                direct_from = now + draw_direct_retry(nodes, BOUND)
+                direct_from = now + draw_store_retry(nodes, BOUND)
             now += draw_retry(failures)
             failures += 1
         returns.append(now - OUTAGE)
--- a/tests/core/traffic/test_ratelimits.py
+++ b/tests/core/traffic/test_ratelimits.py
@@ -178,9 +178,9 @@
     limits = RateLimits()
     for number in range(2 * MAX_REPORTED_CHANGES):
         limits.note_answer(ServerId(f"i-{number}"), 2.0, sent_at=0.0, now=100.0 + number / 100)
-    assert len(limits.list_news(now=102.0)) == MAX_REPORTED_CHANGES
-    assert next(iter(limits.list_news(now=102.0))) == f"i-{2 * MAX_REPORTED_CHANGES - 1}"
-    assert limits.list_news(now=110.0) == {}
+    assert len(limits.list_changes(now=102.0)) == MAX_REPORTED_CHANGES
+    assert next(iter(limits.list_changes(now=102.0))) == f"i-{2 * MAX_REPORTED_CHANGES - 1}"
+    assert limits.list_changes(now=110.0) == {}
 
 
 def test_limits_of_absent_servers_are_forgotten() -> None:
--- a/tests/core/traffic/test_view.py
+++ b/tests/core/traffic/test_view.py
@@ -101,7 +101,7 @@
     server = make_server(1, "l4")
     view.put_server(server)
     view.note_failure()
-    view.adopt_contact(StoreContact(confirmed_at=clock.now))
+    view.merge_contact(StoreContact(confirmed_at=clock.now))
     assert view.are_keys_valid()
     assert view.remove_server(server.id)
 
@@ -113,7 +113,7 @@
     server = make_server(1, "l4")
     view.put_server(server)
     view.confirm(clock.now)
-    view.adopt_contact(StoreContact(clock.now, failed_at=clock.now, returned_at=clock.now))
+    view.merge_contact(StoreContact(clock.now, failed_at=clock.now, returned_at=clock.now))
     assert view.remove_server(server.id)
 
 
@@ -124,7 +124,7 @@
     view.put_server(server)
     view.note_failure()
     clock.now += 2.0
-    view.adopt_contact(StoreContact(clock.now, failed_at=clock.now - 0.5, returned_at=clock.now))
+    view.merge_contact(StoreContact(clock.now, failed_at=clock.now - 0.5, returned_at=clock.now))
     assert not view.remove_server(server.id)
 
 
@@ -140,9 +140,9 @@
     view.put_server(server)
     view.note_failure()
     relay = StoreContact(clock.now, failed_at=clock.now - 1.1, returned_at=clock.now - 1.0)
-    view.adopt_contact(relay)
+    view.merge_contact(relay)
     clock.now += 1.8
-    view.adopt_contact(relay)
+    view.merge_contact(relay)
     assert view.remove_server(server.id)
 
 
@@ -150,5 +150,5 @@
     clock = Clock()
     view = PlatformView(5.0, clock)
     view.confirm(clock.now)
-    view.adopt_contact(StoreContact(confirmed_at=clock.now - 1.0))
+    view.merge_contact(StoreContact(confirmed_at=clock.now - 1.0))
     assert view.age == 0.0
--- a/tests/node/traffic/sharing/test_changes.py
+++ b/tests/node/traffic/sharing/test_changes.py
@@ -118,21 +118,21 @@
     relay, other = Relay(), Relay()
     lead(relay.beliefs, 1)
     await make_client(Wire(other.server), "entry-4", busy=20)[0].ask("relay", 4)
-    relay.board.take_relay(VmId("entry-9"), other.board.sum_followers({}))
+    relay.board.record_relay(VmId("entry-9"), other.board.sum_followers({}))
     for name, busy in (("entry-2", 3), ("entry-3", 5)):
         relay.hear(StoreItem("servers/i-1", b"entry", 6), revision=6)
         await anyio.sleep(MAX_SUM_AGE_S)  # one sum serves all that ask at about the same time
         client, board = make_client(Wire(relay.server), name, busy)
         assert await client.ask("relay", 5) is not None
-    assert board.find_others(BUSY) == ServerLoad(1 + 3 + 20, 24 * RESERVED)
-    assert relay.board.find_others(BUSY) == ServerLoad(3 + 5 + 20, 28 * RESERVED)
-    assert relay.board.find_others(ServerId("i-2")) == ServerLoad(0, 0.0)
+    assert board.get_others(BUSY) == ServerLoad(1 + 3 + 20, 24 * RESERVED)
+    assert relay.board.get_others(BUSY) == ServerLoad(3 + 5 + 20, 28 * RESERVED)
+    assert relay.board.get_others(ServerId("i-2")) == ServerLoad(0, 0.0)
 
 
 async def test_relays_tell_each_other() -> None:
     relay = Relay()
     await make_client(Wire(relay.server), "entry-1")[0].tell_loads("relay", {BUSY: ServerLoad(7, 7 * RESERVED)})
-    assert relay.board.find_others(BUSY) == ServerLoad(7, 7 * RESERVED)
+    assert relay.board.get_others(BUSY) == ServerLoad(7, 7 * RESERVED)
 
 
 async def test_rate_limit_that_one_node_was_told_reaches_all_others() -> None:
--- a/tests/rig/fleetmodel.py
+++ b/tests/rig/fleetmodel.py
@@ -157,7 +157,7 @@
         """Count the loads of all nodes, and bring them to a node when they are old."""
         total = {server: ServerLoad(work.leading, work.taken) for server, work in self._work.items() if work.taken > 0}
         own = node.beliefs.list_loads()
-        self._schedule(WORD_LAG, lambda: node.board.take_total(total, own))
+        self._schedule(WORD_LAG, lambda: node.board.record_total(total, own))
         self._schedule(TELL_INTERVAL, lambda: self._count_loads(node))
 
     def _arrive(self) -> None:
@@ -207,7 +207,7 @@
         """Bring what a node has found to the relays, and what two nodes have found to all."""
         before = self._losses.version
         found = node.beliefs.list_found(self.now)
-        self._losses.take_follower(node.vm, {server: Finding(until) for server, until in found.items()}, {})
+        self._losses.record_follower(node.vm, {server: Finding(until) for server, until in found.items()}, {})
         if self._losses.version == before:
             return
         confirmed = self._losses.list_confirmed({})
@@ -215,7 +215,7 @@
         def adopt() -> None:
             for each in self._nodes:
                 for server, until in confirmed.items():
-                    each.beliefs[server].take_told_loss(until, self.now)
+                    each.beliefs[server].record_reported_loss(until, self.now)
 
         self._schedule(TELL_TIME, adopt)
 
