--- a/bench/chains.py
+++ b/bench/chains.py
@@ -9,7 +9,7 @@
 
 from core.traffic.samples import ENGINE, make_fleet
 from vaneturn_core.identifiers import DataHall, VmId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.chains import ChainChooser
 from vaneturn_core.traffic.layermap import LayerMap
 from vaneturn_core.traffic.layout import LayoutPlanner
@@ -51,7 +51,7 @@
         layer_map = LayerMap(ENGINE, placed)
         chooser = ChainChooser(
             layer_map=layer_map,
-            beliefs=ServerBeliefs(),
+            beliefs=ServerStatuses(),
             node=VmId("entry-1"),
             hall=DataHall("osborne"),
             share=8.0,
--- a/packages/core/src/vaneturn_core/traffic/beliefs.py
+++ b/packages/core/src/vaneturn_core/traffic/beliefs.py
@@ -28,35 +28,35 @@
 
 
 @dataclass(slots=True)
-class ServerBelief:
+class ServerStatus:
     """The status of one server as this node knows it; all times are monotonic."""
 
     in_progress: int = 0
-    heard_at: float = float("-inf")  # when a chain with this server last delivered a token
+    token_at: float = float("-inf")  # when a chain with this server last delivered a token
     reserved: float = 0.0  # tokens times layers of the requests in progress from this node
     latency: float = 0.0  # seconds; moving average over whole answers or first events
     failures: int = 0  # consecutive
     failed_at: float = float("-inf")
     full_until: float = float("-inf")  # end of the backoff for lack of capacity
-    told_until: float = float("-inf")  # end of the backoff after losses that other nodes reported
-    found_until: float = float("-inf")  # end of the backoff after failures seen by this node
+    reported_until: float = float("-inf")  # end of the backoff after losses that other nodes reported
+    failed_until: float = float("-inf")  # end of the backoff after failures seen by this node
     permit_at: float = float("-inf")  # earliest time at which its rate limit may allow a request from this node
     rest_until: float = float("-inf")  # end of the rest that the server asked for
-    returned_at: float = float("-inf")  # when the last trial request after a rest was sent
+    trial_at: float = float("-inf")  # when the last trial request after a rest was sent
     is_returning: bool = False  # it has not accepted a request since it asked for rest
     is_leaving: bool = False  # it said so in an answer; the list may show that later
     is_replaced: bool = False  # its address answered with another id
     slowness: float = 1.0  # reported by the server; above 1, it is slower than its kind
     slowness_at: float = float("-inf")
     leading: int = 0  # requests from this node whose first server it is
-    told_load: int = 0  # requests running and waiting there from all nodes, as last reported by the server
-    told_at: float = float("-inf")
-    errors: float = 0.0  # moving average: share of answers that were failures of the server itself
+    reported_load: int = 0  # requests running and waiting there from all nodes, as last reported by the server
+    reported_at: float = float("-inf")
+    error_rate: float = 0.0  # moving average: share of answers that were failures of the server itself
 
     @property
-    def resting_until(self) -> float:
+    def backoff_until(self) -> float:
         """Return the end of the longest backoff; until then the server gets no new work."""
-        return max(self.full_until, self.told_until, self.found_until)
+        return max(self.full_until, self.reported_until, self.failed_until)
 
     def may_take_request(self, now: float) -> bool:
         """Tell whether its rate limit and the rest it asked for allow a request from this node.
@@ -67,12 +67,12 @@
 
     def is_closed(self, now: float) -> bool:
         """Tell whether it is leaving, is at rest, or has a trial request pending after its rest."""
-        is_trial_pending = self.is_returning and now < self.returned_at + TRIAL_INTERVAL_S
+        is_trial_pending = self.is_returning and now < self.trial_at + TRIAL_INTERVAL_S
         return self.is_leaving or now < self.rest_until or is_trial_pending
 
     def compute_wait(self, now: float) -> float:
         """Compute the seconds until it may get a request, unless it is leaving."""
-        returns_at = self.returned_at + TRIAL_INTERVAL_S if self.is_returning else self.rest_until
+        returns_at = self.trial_at + TRIAL_INTERVAL_S if self.is_returning else self.rest_until
         return max(0.0, max(self.permit_at, self.rest_until, returns_at) - now)
 
     def claim_send(self, now: float) -> bool:
@@ -80,7 +80,7 @@
         if self.is_closed(now):
             return False
         if self.is_returning:
-            self.returned_at = now
+            self.trial_at = now
         return True
 
     def take_rest(self, until: float) -> None:
@@ -98,32 +98,32 @@
         self.failures = 0
         self.latency = seconds if not self.latency else self.latency + LATENCY_WEIGHT * (seconds - self.latency)
 
-        self.errors *= 1 - ERROR_WEIGHT
+        self.error_rate *= 1 - ERROR_WEIGHT
 
     def record_token(self, now: float) -> None:
         """Record a token from a chain with this server; it ends backoffs for failures and reported losses."""
-        self.heard_at = now
+        self.token_at = now
         self.failures = 0
-        self.found_until = self.told_until = float("-inf")
+        self.failed_until = self.reported_until = float("-inf")
 
     def record_error(self, now: float) -> None:
         """Record an error answer of the server itself; a high error rate counts as a failure."""
-        self.errors += ERROR_WEIGHT * (1 - self.errors)
-        if self.errors > MAX_ERROR_RATE:
-            self.errors = 0.0
+        self.error_rate += ERROR_WEIGHT * (1 - self.error_rate)
+        if self.error_rate > MAX_ERROR_RATE:
+            self.error_rate = 0.0
             self.record_failure(now)
 
     def take_load(self, load: int, now: float) -> None:
         """Record the load that the server reported."""
-        self.told_load = load
-        self.told_at = now
+        self.reported_load = load
+        self.reported_at = now
 
     def take_slowness(self, slowness: float, now: float) -> None:
         """Record the slowness that the server reported."""
         self.slowness = slowness
         self.slowness_at = now
 
-    def read_slowness(self, now: float) -> float:
+    def get_slowness(self, now: float) -> float:
         """Return its slowness; an old report is ignored, so that the server is used again."""
         return self.slowness if now - self.slowness_at < MAX_SLOWNESS_AGE_S else 1.0
 
@@ -135,16 +135,16 @@
 
         :param fullness: share of its memory or places in use, as reported by nodes.
         """
-        if now - self.heard_at > ALIVE_AGE_S and fullness < LIKELY_FULL_SHARE:
+        if now - self.token_at > ALIVE_AGE_S and fullness < LIKELY_FULL_SHARE:
             self.record_failure(now)
             return
         self.full_until = max(self.full_until, now + FULL_BACKOFF_S)
 
     def record_reported_loss(self, until: float, now: float) -> bool:
         """Adopt the backoff of other nodes; false when a token came just now or the backoff is no longer than known."""
-        if now - self.heard_at <= ALIVE_AGE_S or until <= self.resting_until:
+        if now - self.token_at <= ALIVE_AGE_S or until <= self.backoff_until:
             return False
-        self.told_until = until
+        self.reported_until = until
         return True
 
     def record_failure(self, now: float) -> float:
@@ -154,23 +154,23 @@
         rest = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * BACKOFF_GROWTH**self.failures)
         self.failures += 1
         self.failed_at = now
-        self.found_until = now + rest
+        self.failed_until = now + rest
         return rest
 
 
-class ServerBeliefs:
+class ServerStatuses:
     """The status of all servers in the list."""
 
     def __init__(self) -> None:
-        self._beliefs: dict[ServerId, ServerBelief] = {}
+        self._beliefs: dict[ServerId, ServerStatus] = {}
 
-    def __getitem__(self, server: ServerId) -> ServerBelief:
-        return self._beliefs.setdefault(server, ServerBelief())
+    def __getitem__(self, server: ServerId) -> ServerStatus:
+        return self._beliefs.setdefault(server, ServerStatus())
 
     @property
-    def heard_at(self) -> float:
+    def newest_token_at(self) -> float:
         """Return the monotonic time at which the last token came over any chain."""
-        return max((belief.heard_at for belief in self._beliefs.values()), default=float("-inf"))
+        return max((belief.token_at for belief in self._beliefs.values()), default=float("-inf"))
 
     def list_loads(self) -> dict[ServerId, ServerLoad]:
         """List what this node has in progress on each server."""
@@ -180,9 +180,9 @@
             if belief.in_progress
         }
 
-    def list_found(self, now: float) -> dict[ServerId, float]:
+    def list_failed(self, now: float) -> dict[ServerId, float]:
         """List the servers that are backed off after failures seen by this node, with the end of each backoff."""
-        return {server: belief.found_until for server, belief in self._beliefs.items() if belief.found_until > now}
+        return {server: belief.failed_until for server, belief in self._beliefs.items() if belief.failed_until > now}
 
     def estimate_share(self, nodes: int, now: float) -> float:
         """Estimate the ratio of the requests in progress from all nodes to those from this node.
@@ -192,8 +192,8 @@
         """
         reported_total = own_total = 0
         for belief in self._beliefs.values():
-            if belief.leading and now - belief.told_at < MAX_LOAD_AGE_S:
-                reported_total += belief.told_load
+            if belief.leading and now - belief.reported_at < MAX_LOAD_AGE_S:
+                reported_total += belief.reported_load
                 own_total += belief.leading
         if not own_total:
             return float(nodes)
@@ -210,7 +210,7 @@
         belief = self[server]
         return belief.is_replaced or belief.is_leaving
 
-    def list_choosable(
+    def list_eligible(
         self, servers: Iterable[BackendServer], avoided: Iterable[ServerId], now: float
     ) -> list[BackendServer]:
         """List the servers that may get new work; if too many are backed off, these are included."""
@@ -220,8 +220,8 @@
             for server in servers
             if server.state is ServerState.READY and server.id not in excluded and not self._is_excluded(server.id)
         ]
-        available = [server for server in eligible if self[server.id].resting_until <= now]
+        available = [server for server in eligible if self[server.id].backoff_until <= now]
         return available if len(available) >= MAX_BACKOFF_SHARE * len(eligible) else eligible
 
 
-__all__ = ["ServerBelief", "ServerBeliefs"]
+__all__ = ["ServerStatus", "ServerStatuses"]
--- a/packages/core/src/vaneturn_core/traffic/chains.py
+++ b/packages/core/src/vaneturn_core/traffic/chains.py
@@ -9,7 +9,7 @@
 from typing import Final
 
 from vaneturn_core.identifiers import DataHall, VmId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.chain import Chain
 from vaneturn_core.traffic.configuration import EngineProfile
 from vaneturn_core.traffic.crossings import compute_crossing_share
@@ -63,7 +63,7 @@
         self,
         *,
         layer_map: LayerMap,
-        beliefs: ServerBeliefs,
+        beliefs: ServerStatuses,
         node: VmId,
         hall: DataHall,
         share: float,
@@ -196,7 +196,7 @@
                 used, leading = belief.reserved * self._share, belief.leading * self._share
             else:
                 used, leading = belief.reserved + others.reserved, belief.leading + others.leading
-            loads[server.id] = _Load(used, leading, belief.read_slowness(self._now))
+            loads[server.id] = _Load(used, leading, belief.get_slowness(self._now))
         return loads
 
     def _find_complete_path(
--- a/packages/node/src/vaneturn_node/traffic/process/daemon.py
+++ b/packages/node/src/vaneturn_node/traffic/process/daemon.py
@@ -14,7 +14,7 @@
 
 from vaneturn_core.faults import Fault
 from vaneturn_core.identifiers import DataHall, NodeId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.configuration import ClientLimits
 from vaneturn_core.traffic.hearing import Hearing
 from vaneturn_core.traffic.relays import RelayTimes, rank_candidate
@@ -67,7 +67,7 @@
         caller = Caller(self._pool)
         self._store = PlatformStore(caller, ServerAddress(settings.store_address))
         self._view = PlatformView(bounds.keys_valid_ms / 1000, read_clock)
-        self._beliefs = ServerBeliefs()
+        self._beliefs = ServerStatuses()
         metrics = TrafficMetrics()
         self._tenure = Tenure(self._store, self.id, settings.vm, lambda: rank_candidate(settings.vm, self._view.nodes))
         self._registration = Registration(self._store, settings.vm, settings.peer_address)
--- a/packages/node/src/vaneturn_node/traffic/servers/directivekeeper.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/directivekeeper.py
@@ -6,7 +6,7 @@
 import random
 from typing import Final
 
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.directives import ServerDirectives
 from vaneturn_core.traffic.ratelimits import RateLimits
 from vaneturn_core.traffic.servers import BackendServer, ServerId
@@ -21,7 +21,7 @@
 class DirectiveKeeper:
     """What servers ask of this node."""
 
-    def __init__(self, beliefs: ServerBeliefs, limits: RateLimits) -> None:
+    def __init__(self, beliefs: ServerStatuses, limits: RateLimits) -> None:
         self._beliefs = beliefs
         self._limits = limits
         self._newest: dict[ServerId, ServerDirectives] = {}
--- a/packages/node/src/vaneturn_node/traffic/servers/exchange.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/exchange.py
@@ -11,7 +11,7 @@
 
 from vaneturn_core.identifiers import DataHall, ServiceName, VmId
 from vaneturn_core.traffic.arrivals import ArrivalRate
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.configuration import EngineProfile
 from vaneturn_core.traffic.crashes import CrashBoard
 from vaneturn_core.traffic.hearing import Hearing
@@ -47,7 +47,7 @@
     hall: DataHall
     bounds: Bounds
     view: PlatformView
-    beliefs: ServerBeliefs
+    beliefs: ServerStatuses
     pool: LinkPool
     calls: ServerCalls
     reports: ReportBoard
@@ -105,7 +105,7 @@
 
     def list_choosable(self, service: ServiceName, avoided: Iterable[ServerId]) -> list[BackendServer]:
         """List the servers of a service that may get new work."""
-        return self.beliefs.list_choosable(self.view.list_servers(service), avoided, read_clock())
+        return self.beliefs.list_eligible(self.view.list_servers(service), avoided, read_clock())
 
     def list_accepting(self, service: ServiceName, avoided: Iterable[ServerId]) -> list[BackendServer]:
         """List the choosable servers of a service that accept requests from this node."""
@@ -143,7 +143,7 @@
         Five streams that saw one silence of a server made 8 s of rest out of it, in place of 0.7 s.
         """
         now = read_clock()
-        if self.beliefs[server].found_until <= now:
+        if self.beliefs[server].failed_until <= now:
             self.beliefs[server].record_failure(now)
         self.loss_found.give()
 
@@ -152,7 +152,7 @@
         now = read_clock()
         belief = self.beliefs[server]
         belief.record_refusal(now, fullness)
-        if belief.found_until > now:
+        if belief.failed_until > now:
             self.loss_found.give()
 
     async def release(self, link: HttpLink, address: str, *, is_whole: bool) -> None:
--- a/packages/node/src/vaneturn_node/traffic/servers/lossfinding.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/lossfinding.py
@@ -77,7 +77,7 @@
     async def _find_silent(self, chain: Chain, heard_age: float) -> list[Part]:
         """Find the parts that give no sign of life while others do; while this VM hears nobody, there are none."""
         started = read_clock()
-        quiet = [part for part in chain.parts if self._parts.beliefs[part.server.id].heard_at < started - heard_age]
+        quiet = [part for part in chain.parts if self._parts.beliefs[part.server.id].token_at < started - heard_age]
         self._has_spared = len(quiet) < len(chain.parts)
         failed = await self._ask(quiet)
         refused = [part for part in failed if self._parts.reports.is_gone(part.server.id)]
@@ -144,7 +144,7 @@
             "asked": asked,
             "hears_others": is_hearing,
             "took": round(now - started, 3),  # far over the time for two signs of life: this process was held up
-            "heard_age": round(min(now - self._parts.beliefs.heard_at, MAX_SHOWN_AGE_S), 3),  # of any server
+            "heard_age": round(min(now - self._parts.beliefs.newest_token_at, MAX_SHOWN_AGE_S), 3),  # of any server
         }
         logger.info("servers silent", extra=extra)
 
--- a/packages/node/src/vaneturn_node/traffic/servers/permits.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/permits.py
@@ -11,7 +11,7 @@
 from msgspec import Struct
 
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.ratelimits import PermitIssuer, RateLimit, RateLimits, rank_issuers
 from vaneturn_core.traffic.servers import ServerId
 from vaneturn_core.traffic.view import PlatformView
@@ -60,7 +60,7 @@
         *,
         vm: VmId,
         view: PlatformView,
-        beliefs: ServerBeliefs,
+        beliefs: ServerStatuses,
         limits: RateLimits,
         issuer: PermitIssuer,
         caller: Caller,
--- a/packages/node/src/vaneturn_node/traffic/serving/plain.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/plain.py
@@ -86,7 +86,7 @@
 
     def _estimate_wait(self, server: BackendServer) -> float:
         belief = self._parts.beliefs[server.id]
-        others = belief.told_load if read_clock() - belief.told_at < LOAD_MEMORY else 0
+        others = belief.reported_load if read_clock() - belief.reported_at < LOAD_MEMORY else 0
         busy = max(belief.in_progress, others)
         return (belief.latency or FIRST_LATENCY) * (1 + busy / max(1, server.slots))
 
--- a/packages/node/src/vaneturn_node/traffic/serving/requests.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/requests.py
@@ -9,7 +9,7 @@
 from typing import Final
 
 from vaneturn_core.identifiers import ServiceName
-from vaneturn_core.traffic.beliefs import ServerBelief
+from vaneturn_core.traffic.beliefs import ServerStatus
 from vaneturn_core.traffic.chain import Chain
 from vaneturn_core.traffic.configuration import TrafficCustomer, TrafficRoute
 from vaneturn_core.traffic.contents import Content, digest_content
@@ -70,7 +70,7 @@
         """
         return self.has_key() and not self.is_barred
 
-    def find_obstacle(self, belief: ServerBelief) -> str | None:
+    def find_obstacle(self, belief: ServerStatus) -> str | None:
         """Find right before a send to a server what forbids it; none when it may be made now."""
         if not self.may_send():
             return "keys too old"
--- a/packages/node/src/vaneturn_node/traffic/sharing/changeclient.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changeclient.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.loads import LoadBoard, Loads
 from vaneturn_core.traffic.relays import RelayTimes
 from vaneturn_core.traffic.view import PlatformView, StoreContact
@@ -58,7 +58,7 @@
         times: RelayTimes,
         vm: VmId,
         view: PlatformView,
-        beliefs: ServerBeliefs,
+        beliefs: ServerStatuses,
         board: LoadBoard,
         losses: LossSharing,
         crashes: CrashSharing,
--- a/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
@@ -12,7 +12,7 @@
 import anyio
 import msgspec
 
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.loads import MAX_SUM_AGE_S, LoadBoard
 from vaneturn_core.traffic.relays import RelayTimes
 from vaneturn_core.traffic.view import PlatformView
@@ -50,7 +50,7 @@
         log: ChangeLog,
         view: PlatformView,
         times: RelayTimes,
-        beliefs: ServerBeliefs,
+        beliefs: ServerStatuses,
         board: LoadBoard,
         losses: LossSharing,
         crashes: CrashSharing,
--- a/packages/node/src/vaneturn_node/traffic/sharing/loadsharing.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/loadsharing.py
@@ -7,7 +7,7 @@
 import anyio
 
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.loads import LoadBoard
 from vaneturn_core.traffic.relays import list_relays
 from vaneturn_core.traffic.view import PlatformView
@@ -20,7 +20,7 @@
     """One task; it does something on relays only."""
 
     def __init__(
-        self, *, vm: VmId, view: PlatformView, beliefs: ServerBeliefs, board: LoadBoard, peers: ChangeClient
+        self, *, vm: VmId, view: PlatformView, beliefs: ServerStatuses, board: LoadBoard, peers: ChangeClient
     ) -> None:
         self._vm = vm
         self._view = view
--- a/packages/node/src/vaneturn_node/traffic/sharing/losssharing.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/losssharing.py
@@ -95,8 +95,8 @@
         now = read_clock()
         beliefs = self._parts.beliefs
         for server in self._adopted.keys() - confirmed.keys():  # who found it has heard of it again
-            if beliefs[server].told_until == self._adopted[server]:
-                beliefs[server].told_until = float("-inf")
+            if beliefs[server].reported_until == self._adopted[server]:
+                beliefs[server].reported_until = float("-inf")
         self._adopted = dict(confirmed)
         taken = [server for server, until in confirmed.items() if beliefs[server].record_reported_loss(until, now)]
         if taken:
@@ -104,7 +104,7 @@
             logger.info("losses told", extra={"servers": taken, "rests": rests, "teller": teller})
 
     def _list_own(self) -> Findings:
-        found = self._parts.beliefs.list_found(read_clock())
+        found = self._parts.beliefs.list_failed(read_clock())
         return {server: Finding(until) for server, until in found.items()}
 
     async def _tell(self) -> None:
--- a/tests/core/traffic/test_chains.py
+++ b/tests/core/traffic/test_chains.py
@@ -10,7 +10,7 @@
 
 from core.traffic.samples import ENGINE, LARGE_ENGINE, LARGE_HALLS, make_fleet, make_server, place
 from vaneturn_core.identifiers import DataHall, VmId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.chain import Chain, Part, assert_chain
 from vaneturn_core.traffic.chains import MAX_HOLDERS, ChainChooser
 from vaneturn_core.traffic.configuration import EngineProfile
@@ -22,7 +22,7 @@
 
 def make_chooser(
     fleet: Sequence[BackendServer],
-    beliefs: ServerBeliefs | None = None,
+    beliefs: ServerStatuses | None = None,
     hall: str = "osborne",
     *,
     board: LoadBoard | None = None,
@@ -32,7 +32,7 @@
 ) -> ChainChooser:
     return ChainChooser(
         layer_map=LayerMap(engine, fleet),
-        beliefs=beliefs or ServerBeliefs(),
+        beliefs=beliefs or ServerStatuses(),
         node=VmId(node),
         hall=DataHall(hall),
         share=8.0,
@@ -47,7 +47,7 @@
 
 
 def choose(
-    fleet: Sequence[BackendServer], beliefs: ServerBeliefs | None = None, hall: str = "osborne", node: str = "entry-1"
+    fleet: Sequence[BackendServer], beliefs: ServerStatuses | None = None, hall: str = "osborne", node: str = "entry-1"
 ) -> Chain | None:
     return make_chooser(fleet, beliefs, hall, node=node).choose(fleet)
 
@@ -65,7 +65,7 @@
 
 def test_chain_leaves_a_hall_with_a_full_server() -> None:
     fleet = place_fleet()
-    beliefs = ServerBeliefs()
+    beliefs = ServerStatuses()
     full = next(server for server in fleet if server.hall == "osborne")
     beliefs[full.id].reserved = full.compute_room(ENGINE) / 8
     chain = choose(fleet, beliefs)
@@ -107,7 +107,7 @@
         make_server(2, "l40s", layers=(10, 30)),
         make_server(3, "a100", layers=(20, 80)),
     ]
-    beliefs = ServerBeliefs()
+    beliefs = ServerStatuses()
     beliefs[fleet[0].id].reserved = 0.9 * fleet[0].compute_room(ENGINE) / 8
     chain = choose(fleet, beliefs)
     assert chain is not None
@@ -118,7 +118,7 @@
 def test_choice_looks_at_few_holders_of_each_boundary() -> None:
     fleet = [make_server(number, "a100", layers=(40, 80)) for number in range(2, 200)]
     fleet.append(make_server(1, "a100", layers=(0, 40)))
-    beliefs = ServerBeliefs()
+    beliefs = ServerStatuses()
     chosen = {choose(fleet, beliefs) for _ in range(5 * MAX_HOLDERS)}
     assert len(chosen) > MAX_HOLDERS  # a different sample each time
 
@@ -143,7 +143,7 @@
     fleet = [make_server(number, "l40s", layers=(0, 8)) for number in range(1, 21)]
     fleet += [make_server(21 + index, "a100", layers=(8 + 24 * index, 32 + 24 * index)) for index in range(3)]
     for node in ("entry-1", "entry-2", "entry-3"):
-        beliefs = ServerBeliefs()
+        beliefs = ServerStatuses()
         homes = {chain.first.id for _ in range(60) if (chain := choose(fleet, beliefs, node=node)) is not None}
         for home in homes:
             beliefs[home].reserved = fleet[0].compute_room(ENGINE)
@@ -186,7 +186,7 @@
 def test_first_server_with_all_places_taken_is_left() -> None:
     """Otherwise 30 requests per second wait 1 to 2 s for a slot on one first server while others have free slots."""
     fleet = [make_server(1, "a100", "osborne", (0, 80)), make_server(2, "l4", "malaga", (0, 80))]
-    beliefs = ServerBeliefs()
+    beliefs = ServerStatuses()
     beliefs[fleet[0].id].leading = fleet[0].slots // 8
     chain = choose(fleet, beliefs)
     assert chain is not None
@@ -197,7 +197,7 @@
     """Estimated as its own load times the number of nodes, a free chain in a node's hall looked full."""
     fleet = [make_server(1, "a100", "osborne", (0, 80)), make_server(2, "l4", "malaga", (0, 80))]
     now = [100.0]
-    beliefs, board = ServerBeliefs(), LoadBoard(lambda: now[0])
+    beliefs, board = ServerStatuses(), LoadBoard(lambda: now[0])
     beliefs[fleet[0].id].leading = fleet[0].slots // 8
     board.record_follower(VmId("entry-2"), {})
     chooser = make_chooser(fleet, beliefs, board=board)
--- a/tests/core/traffic/test_servers.py
+++ b/tests/core/traffic/test_servers.py
@@ -12,13 +12,13 @@
     MAX_BACKOFF_S,
     MAX_LOAD_FACTOR,
     TRIAL_INTERVAL_S,
-    ServerBelief,
-    ServerBeliefs,
+    ServerStatus,
+    ServerStatuses,
 )
 
 
 def test_rest_grows_with_failures_in_a_row_up_to_a_limit() -> None:
-    belief = ServerBeliefs()[make_server(1, "l4").id]
+    belief = ServerStatuses()[make_server(1, "l4").id]
     rests = [belief.record_failure(100.0) for _ in range(6)]
     assert rests[0] == FIRST_BACKOFF_S
     assert rests == sorted(rests)
@@ -26,43 +26,43 @@
 
 
 def test_resting_server_gets_no_work_until_its_rest_is_over() -> None:
-    beliefs = ServerBeliefs()
+    beliefs = ServerStatuses()
     servers = [make_server(number, "l4") for number in range(1, 4)]
     beliefs[servers[0].id].record_failure(100.0)
-    assert servers[0] not in beliefs.list_choosable(servers, [], 100.1)
-    assert servers[0] in beliefs.list_choosable(servers, [], 100.0 + FIRST_BACKOFF_S)
+    assert servers[0] not in beliefs.list_eligible(servers, [], 100.1)
+    assert servers[0] in beliefs.list_eligible(servers, [], 100.0 + FIRST_BACKOFF_S)
 
 
 def test_rest_counts_for_nothing_when_too_many_rest() -> None:
-    beliefs = ServerBeliefs()
+    beliefs = ServerStatuses()
     servers = [make_server(number, "l4") for number in range(1, 4)]
     for server in servers[:2]:
         beliefs[server.id].record_failure(100.0)
-    assert len(beliefs.list_choosable(servers, [], 100.1)) == 3
+    assert len(beliefs.list_eligible(servers, [], 100.1)) == 3
 
 
 def test_full_server_rests_for_a_moment_and_a_lost_one_for_longer() -> None:
     """With the long backoff, two full servers left no chain for up to 8 s; both had capacity again within a second."""
-    beliefs = ServerBeliefs()
+    beliefs = ServerStatuses()
     full, lost = beliefs[make_server(1, "l4").id], beliefs[make_server(2, "l4").id]
     full.record_token(100.0)
     lost.record_token(100.0 - ALIVE_AGE_S - 0.1)
     for _ in range(5):
         full.record_refusal(100.0)
         lost.record_refusal(100.0)
-    assert full.resting_until == 100.0 + FULL_BACKOFF_S
-    assert lost.resting_until == 100.0 + MAX_BACKOFF_S
+    assert full.backoff_until == 100.0 + FULL_BACKOFF_S
+    assert lost.backoff_until == 100.0 + MAX_BACKOFF_S
 
 
 def test_server_whose_address_has_another_id_gets_no_work() -> None:
-    beliefs = ServerBeliefs()
+    beliefs = ServerStatuses()
     server = make_server(1, "l4")
     beliefs[server.id].is_replaced = True
-    assert not beliefs.list_choosable([server], [], 100.0)
+    assert not beliefs.list_eligible([server], [], 100.0)
 
 
 def test_server_that_reports_many_errors_rests_and_one_with_few_does_not() -> None:
-    beliefs = ServerBeliefs()
+    beliefs = ServerStatuses()
     few, many = beliefs[make_server(1, "l4").id], beliefs[make_server(2, "l4").id]
     for number in range(40):
         if number % 7 == 0:
@@ -71,12 +71,12 @@
             few.record_success(0.1)
         many.record_error(100.0)
     assert few.failures == 0
-    assert many.resting_until > 100.0
+    assert many.backoff_until > 100.0
 
 
 @pytest.mark.parametrize(("told", "own", "share"), [(40, 5, 8.0), (3, 5, 1.0), (500, 5, MAX_LOAD_FACTOR * 8)])
 def test_share_of_the_load_is_what_servers_tell(told: int, own: int, share: float) -> None:
-    beliefs = ServerBeliefs()
+    beliefs = ServerStatuses()
     belief = beliefs[make_server(1, "l4").id]
     belief.leading = own
     belief.take_load(told, 100.0)
@@ -84,7 +84,7 @@
 
 
 def test_share_of_the_load_is_equal_without_fresh_word() -> None:
-    beliefs = ServerBeliefs()
+    beliefs = ServerStatuses()
     belief = beliefs[make_server(1, "l4").id]
     belief.leading = 5
     belief.take_load(40, 100.0)
@@ -92,16 +92,16 @@
 
 
 def test_rest_that_a_server_asked_for_holds_also_when_all_rest() -> None:
-    beliefs = ServerBeliefs()
+    beliefs = ServerStatuses()
     servers = [make_server(number, "l4") for number in range(1, 4)]
     for server in servers:
         beliefs[server.id].take_rest(103.0)
-    assert len(beliefs.list_choosable(servers, [], 101.0)) == 3  # for later parts of chains
+    assert len(beliefs.list_eligible(servers, [], 101.0)) == 3  # for later parts of chains
     assert not any(beliefs[server.id].may_take_request(101.0) for server in servers)
 
 
 def test_latest_end_of_several_rests_holds_and_a_success_between_does_not_end_it() -> None:
-    belief = ServerBelief()
+    belief = ServerStatus()
     belief.take_rest(105.0)
     belief.take_rest(103.0)
     belief.note_taken(sent_at=101.0)  # sent before the rest was asked for
@@ -110,7 +110,7 @@
 
 
 def test_server_is_tried_by_one_request_at_a_time_after_its_rest() -> None:
-    belief = ServerBelief()
+    belief = ServerStatus()
     belief.take_rest(103.0)
     assert belief.claim_send(103.0)
     assert not belief.claim_send(103.0 + TRIAL_INTERVAL_S / 2)
@@ -120,7 +120,7 @@
 
 
 def test_wait_for_a_server_is_the_longest_of_what_it_asks() -> None:
-    belief = ServerBelief()
+    belief = ServerStatus()
     assert belief.compute_wait(100.0) == 0
     belief.permit_at = 100.5
     assert belief.compute_wait(100.0) == 0.5
@@ -131,8 +131,8 @@
 
 
 def test_server_that_leaves_is_no_part_of_any_chain() -> None:
-    beliefs = ServerBeliefs()
+    beliefs = ServerStatuses()
     server = make_server(1, "l4")
     beliefs[server.id].is_leaving = True
-    assert beliefs.list_choosable([server], [], 100.0) == []
+    assert beliefs.list_eligible([server], [], 100.0) == []
     assert not beliefs[server.id].may_take_request(100.0)
--- a/tests/node/traffic/following/test_serverentries.py
+++ b/tests/node/traffic/following/test_serverentries.py
@@ -22,7 +22,7 @@
 from standins.platform.operator import make_configuration
 from vaneturn_core.faults import Fault
 from vaneturn_core.identifiers import NodeId, VmId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.contents import Content
 from vaneturn_core.traffic.crashes import Suspicion
 from vaneturn_core.traffic.servers import BackendServer, ServerName, identify_start
@@ -58,7 +58,7 @@
     def __init__(self) -> None:
         caller = Caller(LinkPool())
         self.view = PlatformView(5.0, time.monotonic)
-        self.beliefs = ServerBeliefs()
+        self.beliefs = ServerStatuses()
         self.parts = make_parts("entry-1", self.view, self.beliefs, caller)
         store = PlatformStore(caller, make_server(1, None).address)
         tenure = Tenure(store, NodeId("n"), VmId("entry-1"), lambda: None)
@@ -161,7 +161,7 @@
     (second,) = node.view.servers.values()
     assert (second.name, second.layers) == ("i-1", ())
     fresh = node.beliefs[second.id]
-    assert (fresh.resting_until, fresh.is_replaced, fresh.leading, fresh.reserved) == (float("-inf"), False, 0, 0.0)
+    assert (fresh.backoff_until, fresh.is_replaced, fresh.leading, fresh.reserved) == (float("-inf"), False, 0, 0.0)
     assert node.parts.crashes.list_ends_under(Content(1)) == [first.id]  # the start before has ended
     assert list(node.parts.list_choosable(second.service, [])) == [second]
 
--- a/tests/node/traffic/samples.py
+++ b/tests/node/traffic/samples.py
@@ -5,7 +5,7 @@
 import time
 
 from vaneturn_core.identifiers import DataHall, VmId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.crashes import CrashBoard
 from vaneturn_core.traffic.hearing import Hearing
 from vaneturn_core.traffic.settings import Bounds
@@ -35,7 +35,7 @@
         self.body = body
 
 
-def make_parts(vm: str, view: PlatformView, beliefs: ServerBeliefs, caller: Caller) -> TrafficParts:
+def make_parts(vm: str, view: PlatformView, beliefs: ServerStatuses, caller: Caller) -> TrafficParts:
     calls = ServerCalls(caller)
     hearing = Hearing(read_clock)
     reports = ReportBoard(calls, hearing)
@@ -48,5 +48,5 @@
     return CrashSharing(VmId(vm), CrashBoard(time.monotonic, view.list_software), view, caller)
 
 
-def make_sharing(vm: str, view: PlatformView, beliefs: ServerBeliefs, caller: Caller) -> LossSharing:
+def make_sharing(vm: str, view: PlatformView, beliefs: ServerStatuses, caller: Caller) -> LossSharing:
     return LossSharing(VmId(vm), make_parts(vm, view, beliefs, caller), caller, ChangeLog())
--- a/tests/node/traffic/servers/test_lossfinding.py
+++ b/tests/node/traffic/servers/test_lossfinding.py
@@ -16,7 +16,7 @@
 from core.traffic.samples import make_server
 from node.traffic.samples import make_parts
 from vaneturn_core.identifiers import RequestId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.chain import Chain, Part
 from vaneturn_core.traffic.hearing import PROMPT_ANSWER_S
 from vaneturn_core.traffic.view import PlatformView
@@ -56,7 +56,7 @@
     view = PlatformView(5.0, time.monotonic)
     for server in SERVERS:
         view.put_server(server)
-    return make_parts("entry-1", view, ServerBeliefs(), servers)
+    return make_parts("entry-1", view, ServerStatuses(), servers)
 
 
 def make_finder(parts: TrafficParts) -> LossFinder:
--- a/tests/node/traffic/servers/test_permits.py
+++ b/tests/node/traffic/servers/test_permits.py
@@ -10,7 +10,7 @@
 from core.traffic.samples import make_server
 from node.traffic.samples import make_parts
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.directives import ServerDirectives
 from vaneturn_core.traffic.ratelimits import NodeHistory, rank_issuers
 from vaneturn_core.traffic.view import PlatformView
@@ -42,7 +42,7 @@
         view = PlatformView(5.0, read_clock)
         view.put_server(SERVER)
         view.nodes = {node: str(node) for node in NODES}
-        parts = make_parts(vm, view, ServerBeliefs(), self)
+        parts = make_parts(vm, view, ServerStatuses(), self)
         parts.node_history._known.clear()  # as if it had started long ago
         parts.node_history._known.append((0.0, frozenset(NODES)))
         return parts
--- a/tests/node/traffic/serving/test_streamtry.py
+++ b/tests/node/traffic/serving/test_streamtry.py
@@ -14,7 +14,7 @@
 
 from core.traffic.samples import make_server
 from node.traffic.samples import make_parts
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.chain import Chain, Part
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.http1.caller import Caller
@@ -26,7 +26,7 @@
 
 
 def make_try() -> StreamTry:
-    parts = make_parts("entry-1", PlatformView(5.0, time.monotonic), ServerBeliefs(), Caller(LinkPool()))
+    parts = make_parts("entry-1", PlatformView(5.0, time.monotonic), ServerStatuses(), Caller(LinkPool()))
     work: Any = SimpleNamespace(runs=0, may_have_run=False, facts=SimpleNamespace(id="request-1"))
     chooser: Any = SimpleNamespace(tokens=100)
     chain = Chain(80, (Part(make_server(1, "a100", layers=(0, 80)), 0, 80),))
--- a/tests/node/traffic/sharing/test_changes.py
+++ b/tests/node/traffic/sharing/test_changes.py
@@ -12,7 +12,7 @@
 from core.traffic.samples import make_server
 from node.traffic.samples import Answer, make_crash_sharing, make_parts, make_sharing
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.loads import MAX_SUM_AGE_S, LoadBoard
 from vaneturn_core.traffic.relays import RelayTimes
 from vaneturn_core.traffic.servers import ServerId, ServerLoad
@@ -62,7 +62,7 @@
         self.log = ChangeLog()
         self.log.replace([], 5)
         self.view.confirm(time.monotonic())
-        self.beliefs = ServerBeliefs()
+        self.beliefs = ServerStatuses()
         self.board = LoadBoard(time.monotonic)
         self.parts = make_parts("entry-1", self.view, self.beliefs, Caller(LinkPool()))
         self.losses = LossSharing(VmId("entry-1"), self.parts, Caller(LinkPool()), self.log)
@@ -84,7 +84,7 @@
 
 def make_client(caller: Caller, name: str = "entry-2", busy: int = 0) -> tuple[ChangeClient, LoadBoard]:
     """Make the client of a node that leads some requests over the server i-1."""
-    beliefs, board = ServerBeliefs(), LoadBoard(time.monotonic)
+    beliefs, board = ServerStatuses(), LoadBoard(time.monotonic)
     lead(beliefs, busy)
     view = PlatformView(5.0, time.monotonic)
     view.put_server(make_server(1, "a100", "east"))
@@ -103,7 +103,7 @@
     return client, board
 
 
-def lead(beliefs: ServerBeliefs, requests: int) -> None:
+def lead(beliefs: ServerStatuses, requests: int) -> None:
     belief = beliefs[BUSY]
     belief.in_progress = belief.leading = requests
     belief.reserved = RESERVED * requests
--- a/tests/node/traffic/sharing/test_losssharing.py
+++ b/tests/node/traffic/sharing/test_losssharing.py
@@ -11,7 +11,7 @@
 from core.traffic.samples import make_server
 from node.traffic.samples import make_parts
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.beliefs import FIRST_BACKOFF_S, ServerBeliefs
+from vaneturn_core.traffic.beliefs import FIRST_BACKOFF_S, ServerStatuses
 from vaneturn_core.traffic.losses import Finding
 from vaneturn_core.traffic.relays import list_relays, rank_relays
 from vaneturn_core.traffic.servers import ServerId
@@ -49,13 +49,13 @@
         self.view = PlatformView(5.0, time.monotonic)
         self.view.put_server(make_server(1, "a100"))
         self.view.nodes = {node: str(node) for node in NODES}
-        self.beliefs = ServerBeliefs()
+        self.beliefs = ServerStatuses()
         self.parts = make_parts(vm, self.view, self.beliefs, fleet)
         self.sharing = LossSharing(vm, self.parts, fleet, ChangeLog())
         fleet.nodes[vm] = self
 
     def is_resting(self) -> bool:
-        return self.beliefs[LOST].resting_until > time.monotonic()
+        return self.beliefs[LOST].backoff_until > time.monotonic()
 
 
 async def lose_at(fleet: Fleet, finders: list[VmId]) -> None:
@@ -102,7 +102,7 @@
         relay.sharing.take(body)
     follower.sharing.take_confirmed(relay.sharing.pack_confirmed(time.monotonic()), "relay")
     assert follower.is_resting()
-    assert follower.beliefs.list_found(now) == {}
+    assert follower.beliefs.list_failed(now) == {}
 
 
 async def test_one_silence_seen_by_many_requests_is_one_failure() -> None:
@@ -110,7 +110,7 @@
     node = Node(NODES[0], Fleet())
     for _ in range(5):
         node.parts.note_lost(LOST)
-    assert node.beliefs[LOST].resting_until <= time.monotonic() + FIRST_BACKOFF_S
+    assert node.beliefs[LOST].backoff_until <= time.monotonic() + FIRST_BACKOFF_S
 
 
 async def test_server_that_has_worked_since_it_was_found_lost_gets_work_again() -> None:
@@ -120,7 +120,7 @@
         node.parts.note_lost(LOST)
         await anyio.sleep(0.01)
     node.beliefs[LOST].record_token(time.monotonic())
-    assert servers[0] in node.beliefs.list_choosable(servers, [], time.monotonic())
+    assert servers[0] in node.beliefs.list_eligible(servers, [], time.monotonic())
 
 
 async def test_node_that_hears_of_a_server_again_takes_its_word_back() -> None:
--- a/tests/node/traffic/test_parsing.py
+++ b/tests/node/traffic/test_parsing.py
@@ -15,7 +15,7 @@
 from node.traffic.samples import make_crash_sharing, make_parts, make_sharing
 from vaneturn_core.faults import Fault
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.configuration import TrafficConfiguration
 from vaneturn_core.traffic.loads import LoadBoard
 from vaneturn_core.traffic.relays import RelayTimes
@@ -126,7 +126,7 @@
 @settings(max_examples=60)
 def test_words_of_relays(status: int, body: bytes) -> None:
     async def ask() -> None:
-        view, beliefs, caller = PlatformView(5.0, time.monotonic), ServerBeliefs(), Fixed(status, body)
+        view, beliefs, caller = PlatformView(5.0, time.monotonic), ServerStatuses(), Fixed(status, body)
         losses = make_sharing("entry-1", view, beliefs, caller)
         client = ChangeClient(
             caller=caller,
--- a/tests/rig/fleetmodel.py
+++ b/tests/rig/fleetmodel.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 
 from vaneturn_core.identifiers import DataHall, VmId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.chain import Chain
 from vaneturn_core.traffic.chains import ChainChooser
 from vaneturn_core.traffic.configuration import EngineProfile
@@ -69,7 +69,7 @@
 class _Node:
     vm: VmId
     hall: DataHall
-    beliefs: ServerBeliefs
+    beliefs: ServerStatuses
     board: LoadBoard
     budget: WindowedRetryBudget
     used: dict[ServerId, float] = field(default_factory=dict)  # when the newest stream began there
@@ -148,7 +148,7 @@
 
     def _make_node(self, index: int, hall: DataHall) -> _Node:
         budget = WindowedRetryBudget(RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW, lambda: len(self._nodes), lambda: self.now)
-        return _Node(VmId(f"entry-{index}"), hall, ServerBeliefs(), LoadBoard(lambda: self.now), budget)
+        return _Node(VmId(f"entry-{index}"), hall, ServerStatuses(), LoadBoard(lambda: self.now), budget)
 
     def _schedule(self, delay: float, action: Callable[[], None]) -> None:
         heapq.heappush(self._events, (self.now + delay, next(self._order), action))
@@ -176,7 +176,7 @@
         for number in range(MAX_TRIES):
             if number and not node.budget.spend():
                 break
-            able = node.beliefs.list_choosable(self.servers, avoided, self.now)
+            able = node.beliefs.list_eligible(self.servers, avoided, self.now)
             chooser = ChainChooser(
                 layer_map=self._layer_map,
                 beliefs=node.beliefs,
@@ -206,7 +206,7 @@
     def _tell_losses(self, node: _Node) -> None:
         """Bring what a node has found to the relays, and what two nodes have found to all."""
         before = self._losses.version
-        found = node.beliefs.list_found(self.now)
+        found = node.beliefs.list_failed(self.now)
         self._losses.record_follower(node.vm, {server: Finding(until) for server, until in found.items()}, {})
         if self._losses.version == before:
             return
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -290,7 +290,7 @@
         "tests/node/traffic/sharing/test_losssharing.py::test_loss_found_behind_two_relays_is_known_to_all_relays",
         (
             Edit(f"{TRAFFIC}/sharing/losssharing.py", "if taken:", "if False:"),
-            Edit(f"{CORE}/beliefs.py", "self.told_until = until\n", "pass\n"),
+            Edit(f"{CORE}/beliefs.py", "self.reported_until = until\n", "pass\n"),
         ),
     ),
     Proof(
