--- a/packages/core/src/vaneturn_core/traffic/crashes.py
+++ b/packages/core/src/vaneturn_core/traffic/crashes.py
@@ -33,27 +33,27 @@
 class Suspicion(IntEnum):
     """How a crash bears on a request that ran on the server; when nodes report different values, the largest counts."""
 
-    BEGUN = 1  # the request had produced events, for less than STARTING_TIME_S
-    UNHEARD = 2  # the request had produced none
+    STARTED = 1  # the request had produced events, for less than STARTING_TIME_S
+    NO_EVENT = 2  # the request had produced none
     CLEARED = 3  # the request has completed since
 
 
-_WEIGHTS: Final = {Suspicion.BEGUN: 2, Suspicion.UNHEARD: 3, Suspicion.CLEARED: 0}
+_WEIGHTS: Final = {Suspicion.STARTED: 2, Suspicion.NO_EVENT: 3, Suspicion.CLEARED: 0}
 
 
 @dataclass(slots=True)
-class ServerEnd:
+class ServerCrash:
     """The crash of one start of a server, with the requests that may have caused it."""
 
     at: float  # monotonic time
     software: str  # version that the server ran
     suspects: dict[Content, Suspicion] = field(default_factory=dict)
 
-    def weigh(self, content: Content) -> int:
+    def get_weight(self, content: Content) -> int:
         """Return the weight of this crash against a request; 0 if it was not on the server or is cleared."""
         return _WEIGHTS[self.suspects.get(content, Suspicion.CLEARED)]
 
-    def join(self, other: ServerEnd) -> bool:
+    def join(self, other: ServerCrash) -> bool:
         """Merge what another node has seen of the same crash; false when nothing was new."""
         self.at = min(self.at, other.at)
         changes = [self.suspect(content, suspicion) for content, suspicion in other.suspects.items()]
@@ -88,8 +88,8 @@
         """
         self._clock = clock
         self._list_software = list_software
-        self._ends: dict[ServerId, ServerEnd] = {}
-        self._pending: dict[ServerId, ServerEnd] = {}  # connections were lost, but a crash is not confirmed
+        self._crashes: dict[ServerId, ServerCrash] = {}
+        self._pending: dict[ServerId, ServerCrash] = {}  # connections were lost, but a crash is not confirmed
         self._completed: OrderedDict[tuple[Content, str], float] = (
             OrderedDict()
         )  # when they last completed on a version
@@ -101,7 +101,7 @@
         """Return a checksum of the known crashes; nodes that know the same crashes have the same checksum."""
         if self._check is None:
             rows = sorted(
-                (server, *suspicion) for server, end in self._ends.items() for suspicion in end.suspects.items()
+                (server, *suspicion) for server, crash in self._crashes.items() for suspicion in crash.suspects.items()
             )
             self._check = zlib.crc32(repr(rows).encode())
         return self._check
@@ -111,49 +111,49 @@
 
         If all the versions that it crashed are out of use, it may run once more; a crash of a newer one bars it again.
         """
-        ends = [end for end in self._ends.values() if end.weigh(content)]
-        weight = sum(end.weigh(content) for end in ends)
+        crashes = [crash for crash in self._crashes.values() if crash.get_weight(content)]
+        weight = sum(crash.get_weight(content) for crash in crashes)
         if weight < BARRING_WEIGHT:
             return False
-        if weight < SURE_WEIGHT and self._clock() > max(end.at for end in ends) + DOUBT_TIME_S:
+        if weight < SURE_WEIGHT and self._clock() > max(crash.at for crash in crashes) + DOUBT_TIME_S:
             return False
         running = set(self._list_software())
-        return any(end.software in running for end in ends)
+        return any(crash.software in running for crash in crashes)
 
-    def list_ends_under(self, content: Content) -> list[ServerId]:
+    def list_crashed_servers(self, content: Content) -> list[ServerId]:
         """List the servers whose crash a request may have caused."""
-        return [server for server, end in self._ends.items() if end.weigh(content)]
+        return [server for server, crash in self._crashes.items() if crash.get_weight(content)]
 
     def list_suspects(self, server: ServerId) -> list[Content]:
         """List the requests that may have caused the crash of a server."""
-        end = self._ends.get(server)
-        return [content for content in end.suspects if end.weigh(content)] if end is not None else []
+        crash = self._crashes.get(server)
+        return [content for content in crash.suspects if crash.get_weight(content)] if crash is not None else []
 
-    def note_lost(self, server: ServerId, software: str, content: Content, suspicion: Suspicion) -> None:
+    def record_lost_connection(self, server: ServerId, software: str, content: Content, suspicion: Suspicion) -> None:
         """Record that the connection of a request was lost, before it is known whether the server has crashed."""
         if self._has_completed(content, software):
             return
-        end = self._ends.get(server)
-        if end is not None:
-            self._note_change(is_new=end.suspect(content, suspicion))
+        crash = self._crashes.get(server)
+        if crash is not None:
+            self._note_change(is_new=crash.suspect(content, suspicion))
             return
         now = self._clock()
         self._pending = {
-            lost_server: end for lost_server, end in self._pending.items() if end.at > now - MAX_PENDING_AGE_S
+            lost_server: crash for lost_server, crash in self._pending.items() if crash.at > now - MAX_PENDING_AGE_S
         }
-        self._pending.setdefault(server, ServerEnd(now, software)).suspect(content, suspicion)
+        self._pending.setdefault(server, ServerCrash(now, software)).suspect(content, suspicion)
 
     def confirm(self, server: ServerId) -> bool:
         """Record that a server has crashed; false when no request lost there is pending."""
-        end = self._pending.pop(server, None)
-        return end is not None and self.join({server: end})
+        crash = self._pending.pop(server, None)
+        return crash is not None and self.join({server: crash})
 
     def confirm_absent(self, present: Iterable[ServerId]) -> list[ServerId]:
         """Confirm the crash of each server with lost requests that is not listed any more; return these servers."""
         gone = self._pending.keys() - set(present)
         return [server for server in gone if self.confirm(server)]
 
-    def note_sound(self, content: Content, software: str) -> bool:
+    def record_completion(self, content: Content, software: str) -> bool:
         """Record that a request has completed on a software version; true when this clears it of a suspicion.
 
         It is then cleared of all crashes of that version, earlier and later. Copies of a popular request run on all
@@ -164,21 +164,23 @@
         self._completed.move_to_end(key)
         if len(self._completed) > MAX_COMPLETED:
             self._completed.popitem(last=False)
-        suspected = [end for end in self._ends.values() if content in end.suspects and end.software == software]
-        cleared = [end.suspect(content, Suspicion.CLEARED) for end in suspected]
+        suspected = [
+            crash for crash in self._crashes.values() if content in crash.suspects and crash.software == software
+        ]
+        cleared = [crash.suspect(content, Suspicion.CLEARED) for crash in suspected]
         self._note_change(is_new=any(cleared))
         return any(cleared)
 
-    def join(self, ends: Mapping[ServerId, ServerEnd]) -> bool:
+    def join(self, crashes: Mapping[ServerId, ServerCrash]) -> bool:
         """Merge crashes that were confirmed here or by another node; false when nothing was new."""
         oldest = self._clock() - MAX_CRASH_AGE_S
         is_new = False
-        for server, end in ends.items():
-            if end.at < oldest:
+        for server, crash in crashes.items():
+            if crash.at < oldest:
                 continue
             pending = self._pending.pop(server, None)
-            known = self._ends.setdefault(server, ServerEnd(end.at, end.software))
-            is_new |= known.join(end)
+            known = self._crashes.setdefault(server, ServerCrash(crash.at, crash.software))
+            is_new |= known.join(crash)
             if pending is not None:
                 is_new |= known.join(pending)
             for content in [suspect for suspect in known.suspects if self._has_completed(suspect, known.software)]:
@@ -187,19 +189,19 @@
         self._note_change(is_new=is_new)
         return is_new
 
-    def list_ends(self) -> dict[ServerId, ServerEnd]:
+    def list_crashes(self) -> dict[ServerId, ServerCrash]:
         """Return the known crashes, for other nodes."""
         self._forget(self._clock() - MAX_CRASH_AGE_S)
-        return dict(self._ends)
+        return dict(self._crashes)
 
     def _has_completed(self, content: Content, software: str) -> bool:
         return self._completed.get((content, software), float("-inf")) >= self._clock() - MAX_CRASH_AGE_S
 
     def _forget(self, oldest: float) -> None:
-        newest = sorted(self._ends, key=lambda server: self._ends[server].at, reverse=True)[:MAX_CRASHES]
-        kept = {server: self._ends[server] for server in newest if self._ends[server].at >= oldest}
-        if len(kept) < len(self._ends):
-            self._ends = kept
+        newest = sorted(self._crashes, key=lambda server: self._crashes[server].at, reverse=True)[:MAX_CRASHES]
+        kept = {server: self._crashes[server] for server in newest if self._crashes[server].at >= oldest}
+        if len(kept) < len(self._crashes):
+            self._crashes = kept
             self._check = None
 
     def _note_change(self, *, is_new: bool) -> None:
@@ -210,4 +212,4 @@
             listener()
 
 
-__all__ = ["STARTING_TIME_S", "CrashBoard", "ServerEnd", "Suspicion"]
+__all__ = ["STARTING_TIME_S", "CrashBoard", "ServerCrash", "Suspicion"]
--- a/packages/core/src/vaneturn_core/traffic/hearing.py
+++ b/packages/core/src/vaneturn_core/traffic/hearing.py
@@ -13,7 +13,7 @@
 SLOWEST_ANSWER_FACTOR: Final = 4.0  # of the slowest answer in a round; the limit for the other answers
 
 
-def compute_sign_time(asked: int, answers: Sequence[float]) -> float | None:
+def compute_probe_timeout(asked: int, answers: Sequence[float]) -> float | None:
     """Compute the seconds after which servers without an answer are unresponsive; none while too few have answered.
 
     When a few servers of a chain stop responding, the others still answer in 2 to 4 ms. A fixed wait of 0.06 s made up
@@ -33,7 +33,7 @@
     return max(PROMPT_ANSWER_S, SLOWEST_ANSWER_FACTOR * slowest)
 
 
-class Hearing:
+class Reachability:
     """Tracks the newest probe that was answered promptly."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -45,9 +45,9 @@
         if self._clock() - asked_at <= PROMPT_ANSWER_S:
             self._asked_at = max(self._asked_at, asked_at)
 
-    def has_heard_since(self, at: float) -> bool:
+    def has_reached_others_since(self, at: float) -> bool:
         """Tell whether a probe that was sent at that time or later was answered promptly."""
         return self._asked_at >= at
 
 
-__all__ = ["PROMPT_ANSWER_S", "Hearing", "compute_answer_limit", "compute_sign_time"]
+__all__ = ["PROMPT_ANSWER_S", "Reachability", "compute_answer_limit", "compute_probe_timeout"]
--- a/packages/core/src/vaneturn_core/traffic/layermap.py
+++ b/packages/core/src/vaneturn_core/traffic/layermap.py
@@ -54,7 +54,7 @@
         self.halls = {hall: index_options(engine, inside, 0, engine.layers) for hall, inside in by_hall.items()}
         self.everywhere = index_options(engine, holders, 0, engine.layers)
 
-    def is_of(self, engine: EngineProfile, servers: Sequence[BackendServer]) -> bool:
+    def is_built_for(self, engine: EngineProfile, servers: Sequence[BackendServer]) -> bool:
         """Tell whether it was built for this engine and these servers."""
         return self.engine is engine and self.servers == servers
 
--- a/packages/node/src/vaneturn_node/traffic/process/daemon.py
+++ b/packages/node/src/vaneturn_node/traffic/process/daemon.py
@@ -16,7 +16,7 @@
 from vaneturn_core.identifiers import DataHall, NodeId
 from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.configuration import ClientLimits
-from vaneturn_core.traffic.hearing import Hearing
+from vaneturn_core.traffic.hearing import Reachability
 from vaneturn_core.traffic.relays import RelayTimes, rank_candidate
 from vaneturn_core.traffic.servers import ServerAddress
 from vaneturn_core.traffic.settings import TrafficSettings, load_traffic_settings
@@ -73,7 +73,7 @@
         self._registration = Registration(self._store, settings.vm, settings.peer_address)
         calls = ServerCalls(caller)
         hall = DataHall(settings.data_hall)
-        hearing = Hearing(read_clock)
+        hearing = Reachability(read_clock)
         reports = ReportBoard(calls, hearing)
         parts = TrafficParts(
             settings.vm, hall, bounds, self._view, self._beliefs, self._pool, calls, reports, hearing, caller
--- a/packages/node/src/vaneturn_node/traffic/process/inspection.py
+++ b/packages/node/src/vaneturn_node/traffic/process/inspection.py
@@ -67,7 +67,7 @@
         beliefs, now = self._parts.beliefs, read_clock()
         gauges = Gauges(
             age=view.finite_age,
-            ends=len(self._parts.crashes.list_ends()),
+            ends=len(self._parts.crashes.list_crashes()),
             servers=len(view.servers),
             limited=len(self._parts.limits.list_limited()),
             closed=sum(beliefs[server].is_closed(now) for server in view.servers),
--- a/packages/node/src/vaneturn_node/traffic/servers/crashwatch.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/crashwatch.py
@@ -51,7 +51,7 @@
 
     def note_sound(self, server: BackendServer, content: Content) -> None:
         """Take note that a server has run a request well."""
-        if self._board.note_sound(content, server.software):
+        if self._board.record_completion(content, server.software):
             logger.info("request cleared", extra={"content": format_content(content)})
 
     def note_listed(self) -> None:
@@ -63,13 +63,13 @@
         """Remember a request that was lost, unless the server leaves as planned."""
         listed = self._view.servers.get(server.id)
         if listed is not None and listed.state is not ServerState.DRAINING:
-            self._board.note_lost(server.id, server.software, content, suspicion)
+            self._board.record_lost_connection(server.id, server.software, content, suspicion)
 
     def _note_refused(self, server: BackendServer, content: Content) -> None:
         if self._board.confirm(server.id):
             self._log_end(server.id, "nobody listens")
         if self._board.is_barred(content):
-            ends = self._board.list_ends_under(content)
+            ends = self._board.list_crashed_servers(content)
             logger.info("request barred", extra={"content": format_content(content), "servers": ends})
 
     def _log_end(self, server: ServerId, cause: str) -> None:
--- a/packages/node/src/vaneturn_node/traffic/servers/exchange.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/exchange.py
@@ -14,7 +14,7 @@
 from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.configuration import EngineProfile
 from vaneturn_core.traffic.crashes import CrashBoard
-from vaneturn_core.traffic.hearing import Hearing
+from vaneturn_core.traffic.hearing import Reachability
 from vaneturn_core.traffic.layermap import LayerMap
 from vaneturn_core.traffic.loads import LoadBoard
 from vaneturn_core.traffic.losses import LossBoard
@@ -51,7 +51,7 @@
     pool: LinkPool
     calls: ServerCalls
     reports: ReportBoard
-    hearing: Hearing
+    hearing: Reachability
     caller: Caller
     node_history: NodeHistory = field(default_factory=lambda: NodeHistory(read_clock))
     losses: LossBoard = field(default_factory=lambda: LossBoard(read_clock))
@@ -99,7 +99,7 @@
         """Find who holds which layers now; built anew only when the list of servers has changed."""
         servers = self.view.list_servers(service)
         known = self.layer_maps.get(service)
-        if known is None or not known.is_of(engine, servers):
+        if known is None or not known.is_built_for(engine, servers):
             known = self.layer_maps[service] = LayerMap(engine, servers)
         return known
 
@@ -128,14 +128,14 @@
         :param since: steady time; an answer to an older question says nothing.
         """
         engines = [one for one in self.view.servers.values() if one.kind is not None]
-        if len(engines) <= 1 or self.hearing.has_heard_since(since):
+        if len(engines) <= 1 or self.hearing.has_reached_others_since(since):
             return True
         asked_at = read_clock()
         others = [one for one in engines if one.id not in but]
         async with anyio.create_task_group() as tasks:
             for control in random.sample(others, min(CONTROLS, len(others))):
                 tasks.start_soon(self.reports.read, control, 0.0)
-        return self.hearing.has_heard_since(asked_at - JOIN_AGE)
+        return self.hearing.has_reached_others_since(asked_at - JOIN_AGE)
 
     def note_lost(self, server: ServerId) -> None:
         """Take note that a server has failed for this node, once while it rests for that; other nodes are told.
--- a/packages/node/src/vaneturn_node/traffic/servers/lossfinding.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/lossfinding.py
@@ -12,7 +12,7 @@
 from vaneturn_core.identifiers import RequestId
 from vaneturn_core.traffic.chain import Chain, Part
 from vaneturn_core.traffic.chains import VERY_SLOW_FACTOR
-from vaneturn_core.traffic.hearing import compute_answer_limit, compute_sign_time
+from vaneturn_core.traffic.hearing import compute_answer_limit, compute_probe_timeout
 from vaneturn_core.traffic.servers import ServerId
 from vaneturn_core.traffic.view import MAX_SHOWN_AGE_S
 from vaneturn_node.clock import read_clock
@@ -85,7 +85,7 @@
         if not silent:
             return refused
         self._silences += chain.parts[0] in silent
-        is_hearing = 2 * len(silent) < len(quiet) and self._parts.hearing.has_heard_since(started)
+        is_hearing = 2 * len(silent) < len(quiet) and self._parts.hearing.has_reached_others_since(started)
         if not is_hearing:
             silent, is_hearing = await self._ask_again(chain, silent)
         self._log_silent(silent, len(quiet), started, is_hearing=is_hearing)
@@ -105,7 +105,7 @@
                 return
             silent.remove(part)
             answers.append(anyio.current_time() - began)
-            limit = compute_sign_time(len(parts), answers)
+            limit = compute_probe_timeout(len(parts), answers)
             if limit is not None:
                 tasks.cancel_scope.deadline = began + limit
 
--- a/packages/node/src/vaneturn_node/traffic/servers/reports.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/reports.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from vaneturn_core.traffic.hearing import Hearing
+from vaneturn_core.traffic.hearing import Reachability
 from vaneturn_core.traffic.servers import BackendServer, ServerId
 from vaneturn_node.clock import read_clock
 from vaneturn_node.http1.caller import Failed
@@ -33,7 +33,7 @@
 class ReportBoard:
     """Asks servers for their reports, once for all requests that want one at about the same time."""
 
-    def __init__(self, calls: ServerCalls, hearing: Hearing) -> None:
+    def __init__(self, calls: ServerCalls, hearing: Reachability) -> None:
         self._calls = calls
         self._hearing = hearing
         self._newest: dict[ServerId, _Question] = {}  # answered or not
--- a/packages/node/src/vaneturn_node/traffic/serving/plain.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/plain.py
@@ -145,7 +145,7 @@
                 return NotRun(error.cause, is_silent=True)
             work.runs += 1
             if not error.is_silence:
-                await self._parts.crash_watch.note_cut(server, work.content, Suspicion.UNHEARD)
+                await self._parts.crash_watch.note_cut(server, work.content, Suspicion.NO_EVENT)
             return MayHaveRun(error.cause)
         finally:
             if link is not None:
--- a/packages/node/src/vaneturn_node/traffic/serving/requests.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/requests.py
@@ -129,7 +129,7 @@
 
     def bar(self) -> OwnAnswer:
         """Make the final answer to a request that ends servers; none of its kind is to come again."""
-        ends = ", ".join(self.crashes.list_ends_under(self.content))
+        ends = ", ".join(self.crashes.list_crashed_servers(self.content))
         return OwnAnswer(400, Reason.ENDS_SERVERS, cause=f"servers ended when they began to run it: {ends}")
 
     def give_up_run(self, cause: str) -> OwnAnswer:
--- a/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
@@ -87,7 +87,7 @@
     def _suspicion(self) -> Suspicion | None:
         if self._work.is_sound:
             return None
-        return Suspicion.BEGUN if self._events else Suspicion.UNHEARD
+        return Suspicion.STARTED if self._events else Suspicion.NO_EVENT
 
     async def run(self) -> TryOutcome | None:
         """Get the answer over the chain; none when it has ended in full."""
--- a/packages/node/src/vaneturn_node/traffic/sharing/crashsharing.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/crashsharing.py
@@ -16,7 +16,7 @@
 
 from vaneturn_core.identifiers import VmId
 from vaneturn_core.traffic.contents import Content
-from vaneturn_core.traffic.crashes import CrashBoard, ServerEnd, Suspicion
+from vaneturn_core.traffic.crashes import CrashBoard, ServerCrash, Suspicion
 from vaneturn_core.traffic.relays import list_relays, rank_relays
 from vaneturn_core.traffic.servers import ServerId
 from vaneturn_core.traffic.view import PlatformView
@@ -110,7 +110,7 @@
         targets = self._list_targets() if self._told != self._board.check else set()
         targets |= self._behind
         self._told, self._behind = self._board.check, set()
-        word = CrashWord(self._vm, self._board.check, pack_ends(self._board.list_ends(), read_clock()))
+        word = CrashWord(self._vm, self._board.check, pack_ends(self._board.list_crashes(), read_clock()))
         async with anyio.create_task_group() as tasks:
             for target in targets:
                 address = self._view.nodes.get(target)
@@ -127,7 +127,7 @@
         return {node for node in nodes if node in relays or rank_relays(node, nodes)[0] == self._vm}
 
 
-def pack_ends(ends: dict[ServerId, ServerEnd], now: float) -> list[EndRow]:
+def pack_ends(ends: dict[ServerId, ServerCrash], now: float) -> list[EndRow]:
     """Pack ends with their ages."""
     return [
         EndRow(server, round(now - end.at, 3), end.software, [(one, int(word)) for one, word in end.suspects.items()])
@@ -135,13 +135,13 @@
     ]
 
 
-def unpack_ends(rows: list[EndRow], now: float) -> dict[ServerId, ServerEnd]:
+def unpack_ends(rows: list[EndRow], now: float) -> dict[ServerId, ServerCrash]:
     """Unpack ends that have their ages at a steady time.
 
     :raises ValueError: a row holds no such suspicion.
     """
     return {
-        ServerId(row.server): ServerEnd(
+        ServerId(row.server): ServerCrash(
             now - max(0.0, row.age), row.software, {Content(one): Suspicion(word) for one, word in row.suspects}
         )
         for row in rows
--- a/tests/core/traffic/test_crashes.py
+++ b/tests/core/traffic/test_crashes.py
@@ -16,7 +16,7 @@
     MAX_CRASHES,
     MAX_SUSPECTS,
     CrashBoard,
-    ServerEnd,
+    ServerCrash,
     Suspicion,
 )
 from vaneturn_core.traffic.servers import ServerId
@@ -35,9 +35,9 @@
     def __post_init__(self) -> None:
         self.board = CrashBoard(lambda: self.now, lambda: self.software)
 
-    def end(self, server: int, *contents: Content, word: Suspicion = Suspicion.UNHEARD, software: str = "v1") -> None:
+    def end(self, server: int, *contents: Content, word: Suspicion = Suspicion.NO_EVENT, software: str = "v1") -> None:
         for content in contents:
-            self.board.note_lost(SERVERS[server], software, content, word)
+            self.board.record_lost_connection(SERVERS[server], software, content, word)
         self.board.confirm(SERVERS[server])
 
 
@@ -60,21 +60,21 @@
     scene.end(1, GUILTY)
     assert scene.board.is_barred(GUILTY)
     assert not scene.board.is_barred(OTHER)
-    assert scene.board.list_ends_under(GUILTY) == SERVERS[:2]
+    assert scene.board.list_crashed_servers(GUILTY) == SERVERS[:2]
 
 
 def test_three_ends_after_a_few_events_bar_a_request() -> None:
     scene = Scene()
     for server in range(3):
         assert not scene.board.is_barred(GUILTY)
-        scene.end(server, GUILTY, word=Suspicion.BEGUN)
+        scene.end(server, GUILTY, word=Suspicion.STARTED)
     assert scene.board.is_barred(GUILTY)
 
 
 def test_lost_connection_to_a_server_that_goes_on_says_nothing() -> None:
     scene = Scene()
     for server in range(4):
-        scene.board.note_lost(SERVERS[server], "v1", GUILTY, Suspicion.UNHEARD)
+        scene.board.record_lost_connection(SERVERS[server], "v1", GUILTY, Suspicion.NO_EVENT)
     assert not scene.board.is_barred(GUILTY)
     assert scene.board.confirm_absent(SERVERS) == []
     assert sorted(scene.board.confirm_absent(SERVERS[2:])) == SERVERS[:2]
@@ -84,9 +84,9 @@
 def test_connection_that_was_lost_long_before_its_server_ended_says_nothing() -> None:
     scene = Scene()
     for server in range(2):
-        scene.board.note_lost(SERVERS[server], "v1", GUILTY, Suspicion.UNHEARD)
+        scene.board.record_lost_connection(SERVERS[server], "v1", GUILTY, Suspicion.NO_EVENT)
     scene.now += 20.0
-    scene.board.note_lost(SERVERS[2], "v1", OTHER, Suspicion.UNHEARD)
+    scene.board.record_lost_connection(SERVERS[2], "v1", OTHER, Suspicion.NO_EVENT)
     assert scene.board.confirm_absent([]) == [SERVERS[2]]
     assert not scene.board.is_barred(GUILTY)
 
@@ -95,27 +95,27 @@
     scene, other = Scene(), Scene()
     scene.end(0, GUILTY)
     other.end(0, GUILTY, OTHER)
-    assert scene.board.join(other.board.list_ends())
-    assert not scene.board.join(other.board.list_ends())
+    assert scene.board.join(other.board.list_crashes())
+    assert not scene.board.join(other.board.list_crashes())
     assert not scene.board.is_barred(GUILTY)
 
 
 def test_word_of_another_node_confirms_an_end_that_was_only_supposed() -> None:
     scene, other = Scene(), Scene()
-    scene.board.note_lost(SERVERS[0], "v1", GUILTY, Suspicion.UNHEARD)
+    scene.board.record_lost_connection(SERVERS[0], "v1", GUILTY, Suspicion.NO_EVENT)
     scene.end(1, GUILTY)
     other.end(0, OTHER)
-    scene.board.join(other.board.list_ends())
+    scene.board.join(other.board.list_crashes())
     assert scene.board.is_barred(GUILTY)
 
 
 def test_request_that_ends_well_anywhere_is_cleared_everywhere() -> None:
     scene, other = Scene(), Scene()
     scene.end(0, GUILTY, OTHER)
-    other.board.join(scene.board.list_ends())
-    assert other.board.note_sound(OTHER, "v1")
+    other.board.join(scene.board.list_crashes())
+    assert other.board.record_completion(OTHER, "v1")
     scene.end(1, GUILTY, OTHER)
-    scene.board.join(other.board.list_ends())
+    scene.board.join(other.board.list_crashes())
     assert scene.board.is_barred(GUILTY)
     assert not scene.board.is_barred(OTHER)
 
@@ -124,8 +124,8 @@
     scene, other = Scene(), Scene()
     other.end(0, OTHER)
     scene.now += 1.0
-    assert not scene.board.note_sound(OTHER, "v1")
-    scene.board.join(other.board.list_ends())
+    assert not scene.board.record_completion(OTHER, "v1")
+    scene.board.join(other.board.list_crashes())
     scene.end(1, OTHER)
     assert not scene.board.is_barred(OTHER)
 
@@ -136,21 +136,21 @@
     None of the copies had produced an event, so they looked like the cause.
     """
     scene, other = Scene(), Scene()
-    scene.board.note_sound(OTHER, "v1")
+    scene.board.record_completion(OTHER, "v1")
     for server in range(2):
         scene.end(server, GUILTY, OTHER)
         other.end(server, OTHER)
     assert not scene.board.is_barred(OTHER)
     assert other.board.is_barred(OTHER)
-    scene.board.join(other.board.list_ends())
-    other.board.join(scene.board.list_ends())
+    scene.board.join(other.board.list_crashes())
+    other.board.join(scene.board.list_crashes())
     assert not other.board.is_barred(OTHER)
     assert other.board.is_barred(GUILTY)
 
 
 def test_what_ran_well_on_a_software_may_end_servers_of_the_next() -> None:
     scene = Scene(software={"v1", "v2"})
-    scene.board.note_sound(GUILTY, "v1")
+    scene.board.record_completion(GUILTY, "v1")
     scene.end(0, GUILTY, software="v2")
     scene.end(1, GUILTY, software="v2")
     assert scene.board.is_barred(GUILTY)
@@ -164,7 +164,7 @@
     assert scene.board.is_barred(GUILTY)
     scene.now += 2
     assert not scene.board.is_barred(GUILTY)
-    scene.board.note_sound(OTHER, "v1")
+    scene.board.record_completion(OTHER, "v1")
     scene.end(2, GUILTY, OTHER)
     assert scene.board.is_barred(GUILTY)
     assert not scene.board.is_barred(OTHER)
@@ -189,20 +189,20 @@
     for number in range(2 * MAX_CRASHES):
         server = ServerId(f"i-{number}")
         for content in range(2 * MAX_SUSPECTS):
-            scene.board.note_lost(server, "v1", Content(content), Suspicion.UNHEARD)
+            scene.board.record_lost_connection(server, "v1", Content(content), Suspicion.NO_EVENT)
         scene.board.confirm(server)
-    ends = scene.board.list_ends()
+    ends = scene.board.list_crashes()
     assert len(ends) == MAX_CRASHES
     assert all(len(end.suspects) == MAX_SUSPECTS for end in ends.values())
     scene.now += MAX_CRASH_AGE_S + 1
-    assert scene.board.list_ends() == {}
+    assert scene.board.list_crashes() == {}
     assert not scene.board.is_barred(Content(0))
 
 
 def test_request_without_an_event_is_kept_before_those_with_some() -> None:
     scene = Scene()
     for content in range(10, 10 + MAX_SUSPECTS):
-        scene.board.note_lost(SERVERS[0], "v1", Content(content), Suspicion.BEGUN)
+        scene.board.record_lost_connection(SERVERS[0], "v1", Content(content), Suspicion.STARTED)
     scene.end(0, GUILTY)
     scene.end(1, GUILTY)
     assert scene.board.is_barred(GUILTY)
@@ -224,7 +224,7 @@
     scenes = Scene(), Scene()
     for scene, order in zip(scenes, (words, shuffled), strict=True):
         for word in order:
-            scene.board.join({server: ServerEnd(90.0, "v1", dict(suspects)) for server, suspects in word.items()})
+            scene.board.join({server: ServerCrash(90.0, "v1", dict(suspects)) for server, suspects in word.items()})
     assert scenes[0].board.check == scenes[1].board.check
     for content in range(5):
         assert scenes[0].board.is_barred(Content(content)) == scenes[1].board.is_barred(Content(content))
--- a/tests/core/traffic/test_hearing.py
+++ b/tests/core/traffic/test_hearing.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from vaneturn_core.traffic.hearing import PROMPT_ANSWER_S, Hearing, compute_sign_time
+from vaneturn_core.traffic.hearing import PROMPT_ANSWER_S, Reachability, compute_probe_timeout
 
 
 class Clock:
@@ -17,29 +17,29 @@
 
 def test_prompt_answer_counts_for_questions_as_old_or_older() -> None:
     clock = Clock()
-    hearing = Hearing(clock)
-    assert not hearing.has_heard_since(99.0)
+    hearing = Reachability(clock)
+    assert not hearing.has_reached_others_since(99.0)
     clock.now += PROMPT_ANSWER_S / 2
     hearing.record_answer(100.0)
-    assert hearing.has_heard_since(100.0)
-    assert not hearing.has_heard_since(100.001)
+    assert hearing.has_reached_others_since(100.0)
+    assert not hearing.has_reached_others_since(100.001)
 
 
 def test_late_answer_counts_for_nothing() -> None:
     """On a full link, tokens and answers still arrive, but late."""
     clock = Clock()
-    hearing = Hearing(clock)
+    hearing = Reachability(clock)
     clock.now += 2 * PROMPT_ANSWER_S
     hearing.record_answer(100.0)
-    assert not hearing.has_heard_since(100.0)
+    assert not hearing.has_reached_others_since(100.0)
 
 
 def test_older_answer_does_not_take_a_newer_one_back() -> None:
     clock = Clock()
-    hearing = Hearing(clock)
+    hearing = Reachability(clock)
     hearing.record_answer(100.0)
     hearing.record_answer(99.99)
-    assert hearing.has_heard_since(100.0)
+    assert hearing.has_reached_others_since(100.0)
 
 
 @pytest.mark.parametrize(
@@ -54,4 +54,4 @@
 def test_silence_shows_beside_the_answers_of_the_same_look(
     asked: int, answers: list[float], limit: float | None
 ) -> None:
-    assert compute_sign_time(asked, answers) == (None if limit is None else pytest.approx(limit))
+    assert compute_probe_timeout(asked, answers) == (None if limit is None else pytest.approx(limit))
--- a/tests/node/traffic/following/test_serverentries.py
+++ b/tests/node/traffic/following/test_serverentries.py
@@ -155,14 +155,14 @@
     belief = node.beliefs[first.id]
     belief.record_failure(time.monotonic())
     belief.is_replaced, belief.leading, belief.reserved = True, 4, 900.0
-    node.parts.crashes.note_lost(first.id, "v1", Content(1), Suspicion.UNHEARD)
+    node.parts.crashes.record_lost_connection(first.id, "v1", Content(1), Suspicion.NO_EVENT)
     node.put("servers/i-1", SOUND, born=1_790_000_009_000, layers=None)
     node.keeper.forget_lapsed()
     (second,) = node.view.servers.values()
     assert (second.name, second.layers) == ("i-1", ())
     fresh = node.beliefs[second.id]
     assert (fresh.backoff_until, fresh.is_replaced, fresh.leading, fresh.reserved) == (float("-inf"), False, 0, 0.0)
-    assert node.parts.crashes.list_ends_under(Content(1)) == [first.id]  # the start before has ended
+    assert node.parts.crashes.list_crashed_servers(Content(1)) == [first.id]  # the start before has ended
     assert list(node.parts.list_choosable(second.service, [])) == [second]
 
 
--- a/tests/node/traffic/samples.py
+++ b/tests/node/traffic/samples.py
@@ -7,7 +7,7 @@
 from vaneturn_core.identifiers import DataHall, VmId
 from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.crashes import CrashBoard
-from vaneturn_core.traffic.hearing import Hearing
+from vaneturn_core.traffic.hearing import Reachability
 from vaneturn_core.traffic.settings import Bounds
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.clock import read_clock
@@ -37,7 +37,7 @@
 
 def make_parts(vm: str, view: PlatformView, beliefs: ServerStatuses, caller: Caller) -> TrafficParts:
     calls = ServerCalls(caller)
-    hearing = Hearing(read_clock)
+    hearing = Reachability(read_clock)
     reports = ReportBoard(calls, hearing)
     return TrafficParts(
         VmId(vm), DataHall("east"), Bounds(), view, beliefs, LinkPool(), calls, reports, hearing, caller
--- a/tests/node/traffic/sharing/test_crashsharing.py
+++ b/tests/node/traffic/sharing/test_crashsharing.py
@@ -58,7 +58,7 @@
         return Reply(200, b"")
 
     def end(self, name: str, server: str) -> None:
-        self.boards[name].note_lost(ServerId(server), "v1", GUILTY, Suspicion.UNHEARD)
+        self.boards[name].record_lost_connection(ServerId(server), "v1", GUILTY, Suspicion.NO_EVENT)
         self.boards[name].confirm(ServerId(server))
 
     def list_barring(self) -> set[str]:
@@ -156,6 +156,6 @@
 def test_any_word_is_taken_or_left(body: bytes) -> None:
     board = CrashBoard(time.monotonic, lambda: {"v1"})
     CrashSharing(VmId("entry-1"), board, PlatformView(5.0, time.monotonic), Caller(LinkPool())).take(body)
-    for end in board.list_ends().values():
+    for end in board.list_crashes().values():
         assert end.at <= time.monotonic()
         assert all(isinstance(word, Suspicion) for word in end.suspects.values())
--- a/tests/rig/deadlymodel.py
+++ b/tests/rig/deadlymodel.py
@@ -142,13 +142,13 @@
 
     def _prove(self, one: _Try) -> None:
         one.is_sound = True
-        self._boards[one.node].note_sound(one.content, "v1")
+        self._boards[one.node].record_completion(one.content, "v1")
 
     def _finish(self, one: _Try) -> None:
         assert one.server is not None
         del self._streams[one.server][one]
         one.server = None
-        self._boards[one.node].note_sound(one.content, "v1")
+        self._boards[one.node].record_completion(one.content, "v1")
 
     def _end_server(self, server: int) -> None:
         self.harm.ended.append(self.now)
@@ -159,8 +159,8 @@
         for one in lost:
             one.server = None
             if not one.is_sound:
-                word = Suspicion.UNHEARD if one.heard_at > self.now else Suspicion.BEGUN
-                self._boards[one.node].note_lost(name, "v1", one.content, word)
+                word = Suspicion.NO_EVENT if one.heard_at > self.now else Suspicion.STARTED
+                self._boards[one.node].record_lost_connection(name, "v1", one.content, word)
         for node in sorted({one.node for one in lost}):
             self._boards[node].confirm(name)
         self.random.shuffle(lost)
@@ -185,7 +185,7 @@
 
     def _join(self, node: int) -> None:
         self._is_telling[node] = False
-        ends = self._boards[node].list_ends()
+        ends = self._boards[node].list_crashes()
         for board in self._boards:
             if board.check != self._boards[node].check:
                 board.join(ends)
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -177,7 +177,7 @@
         (
             Edit(
                 f"{TRAFFIC}/servers/exchange.py",
-                "if len(engines) <= 1 or self.hearing.has_heard_since(since):",
+                "if len(engines) <= 1 or self.hearing.has_reached_others_since(since):",
                 "if engines is not None:",
             ),
         ),
