--- a/bench/chains.py
+++ b/bench/chains.py
@@ -51,7 +51,7 @@
         layer_map = LayerMap(ENGINE, placed)
         chooser = ChainChooser(
             layer_map=layer_map,
-            beliefs=ServerStatuses(),
+            statuses=ServerStatuses(),
             node=VmId("entry-1"),
             hall=DataHall("osborne"),
             share=8.0,
--- a/packages/core/src/vaneturn_core/traffic/chains.py
+++ b/packages/core/src/vaneturn_core/traffic/chains.py
@@ -63,7 +63,7 @@
         self,
         *,
         layer_map: LayerMap,
-        beliefs: ServerStatuses,
+        statuses: ServerStatuses,
         node: VmId,
         hall: DataHall,
         share: float,
@@ -91,7 +91,7 @@
         """
         self._layer_map = layer_map
         self._engine: EngineProfile = layer_map.engine
-        self._beliefs = beliefs
+        self._statuses = statuses
         self._node = node
         self._hall = hall
         self._share = share
@@ -135,7 +135,9 @@
         """List the servers that may be the first of a chain."""
         holders = self._layer_map.everywhere.get(0, ())
         servers = [options[0].part.server for options in holders]
-        return [first for first in servers if first.id in loads and self._beliefs[first.id].may_take_request(self._now)]
+        return [
+            first for first in servers if first.id in loads and self._statuses[first.id].may_take_request(self._now)
+        ]
 
     def _find_best(self, firsts: Collection[ServerId], loads: Mapping[ServerId, _Load]) -> _Path | None:
         """Find the cheapest path through all layers that begins with one of the first servers."""
@@ -190,13 +192,13 @@
     def _read_loads(self, eligible: Iterable[BackendServer]) -> dict[ServerId, _Load]:
         loads = {}
         for server in eligible:
-            belief = self._beliefs[server.id]
+            status = self._statuses[server.id]
             others = self._board.get_others(server.id) if self._board is not None else None
             if others is None:
-                used, leading = belief.reserved * self._share, belief.leading * self._share
+                used, leading = status.reserved * self._share, status.leading * self._share
             else:
-                used, leading = belief.reserved + others.reserved, belief.leading + others.leading
-            loads[server.id] = _Load(used, leading, belief.get_slowness(self._now))
+                used, leading = status.reserved + others.reserved, status.leading + others.leading
+            loads[server.id] = _Load(used, leading, status.get_slowness(self._now))
         return loads
 
     def _find_complete_path(
--- a/packages/core/src/vaneturn_core/traffic/loads.py
+++ b/packages/core/src/vaneturn_core/traffic/loads.py
@@ -38,11 +38,11 @@
         self._relays[vm] = (self._clock(), loads)
         self._note_report()
 
-    def record_total(self, total: Loads, told: Loads) -> None:
+    def record_total(self, total: Loads, reported: Loads) -> None:
         """Record the load of all nodes as given by a relay, less what this node had reported to it."""
         self._followers.clear()
         self._relays.clear()
-        self._others = {server: _subtract(load, told.get(server)) for server, load in total.items()}
+        self._others = {server: _subtract(load, reported.get(server)) for server, load in total.items()}
         self._others_until = self._clock() + MAX_REPORT_AGE_S
         self._has_new_report = False
 
@@ -84,10 +84,10 @@
     return {server: ServerLoad(leading[server], reserved[server]) for server in leading}
 
 
-def _subtract(load: ServerLoad, told: ServerLoad | None) -> ServerLoad:
-    if told is None:
+def _subtract(load: ServerLoad, reported: ServerLoad | None) -> ServerLoad:
+    if reported is None:
         return load
-    return ServerLoad(max(0, load.leading - told.leading), max(0.0, load.reserved - told.reserved))
+    return ServerLoad(max(0, load.leading - reported.leading), max(0.0, load.reserved - reported.reserved))
 
 
 _NO_LOAD: Final = ServerLoad(0, 0.0)
--- a/packages/core/src/vaneturn_core/traffic/serverstatus.py
+++ b/packages/core/src/vaneturn_core/traffic/serverstatus.py
@@ -162,27 +162,27 @@
     """The status of all servers in the list."""
 
     def __init__(self) -> None:
-        self._beliefs: dict[ServerId, ServerStatus] = {}
+        self._statuses: dict[ServerId, ServerStatus] = {}
 
     def __getitem__(self, server: ServerId) -> ServerStatus:
-        return self._beliefs.setdefault(server, ServerStatus())
+        return self._statuses.setdefault(server, ServerStatus())
 
     @property
     def newest_token_at(self) -> float:
         """Return the monotonic time at which the last token came over any chain."""
-        return max((belief.token_at for belief in self._beliefs.values()), default=float("-inf"))
+        return max((status.token_at for status in self._statuses.values()), default=float("-inf"))
 
     def list_loads(self) -> dict[ServerId, ServerLoad]:
         """List what this node has in progress on each server."""
         return {
-            server: ServerLoad(belief.leading, round(belief.reserved))
-            for server, belief in self._beliefs.items()
-            if belief.in_progress
+            server: ServerLoad(status.leading, round(status.reserved))
+            for server, status in self._statuses.items()
+            if status.in_progress
         }
 
     def list_failed(self, now: float) -> dict[ServerId, float]:
         """List the servers that are backed off after failures seen by this node, with the end of each backoff."""
-        return {server: belief.failed_until for server, belief in self._beliefs.items() if belief.failed_until > now}
+        return {server: status.failed_until for server, status in self._statuses.items() if status.failed_until > now}
 
     def estimate_share(self, nodes: int, now: float) -> float:
         """Estimate the ratio of the requests in progress from all nodes to those from this node.
@@ -191,10 +191,10 @@
         assumed to have the same load.
         """
         reported_total = own_total = 0
-        for belief in self._beliefs.values():
-            if belief.leading and now - belief.reported_at < MAX_LOAD_AGE_S:
-                reported_total += belief.reported_load
-                own_total += belief.leading
+        for status in self._statuses.values():
+            if status.leading and now - status.reported_at < MAX_LOAD_AGE_S:
+                reported_total += status.reported_load
+                own_total += status.leading
         if not own_total:
             return float(nodes)
         return min(max(1.0, reported_total / own_total), MAX_LOAD_FACTOR * nodes)
@@ -202,13 +202,13 @@
     def forget_absent(self, present: Mapping[ServerId, BackendServer]) -> None:
         """Drop the status of servers that have left the list, unless they still have requests in progress."""
         for server in [
-            known for known, belief in self._beliefs.items() if known not in present and not belief.in_progress
+            known for known, status in self._statuses.items() if known not in present and not status.in_progress
         ]:
-            del self._beliefs[server]
+            del self._statuses[server]
 
     def _is_excluded(self, server: ServerId) -> bool:
-        belief = self[server]
-        return belief.is_replaced or belief.is_leaving
+        status = self[server]
+        return status.is_replaced or status.is_leaving
 
     def list_eligible(
         self, servers: Iterable[BackendServer], avoided: Iterable[ServerId], now: float
--- a/packages/core/src/vaneturn_core/traffic/startup.py
+++ b/packages/core/src/vaneturn_core/traffic/startup.py
@@ -25,10 +25,10 @@
     """
     if is_read:
         return 0.0
-    borne = CLIENT_PATIENCE_S - FIRST_EVENT_TIME_S
+    max_wait = CLIENT_PATIENCE_S - FIRST_EVENT_TIME_S
     if deadline is not None:
-        borne = min(borne, WAIT_SHARE * deadline)
-    return max(0.0, borne - waited)
+        max_wait = min(max_wait, WAIT_SHARE * deadline)
+    return max(0.0, max_wait - waited)
 
 
 __all__ = ["CLIENT_PATIENCE_S", "FIRST_EVENT_TIME_S", "WAIT_SHARE", "compute_first_wait"]
--- a/packages/node/src/vaneturn_node/traffic/serving/streams.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streams.py
@@ -115,7 +115,7 @@
         nodes = self._parts.view.count_nodes()
         return ChainChooser(
             layer_map=self._parts.find_layer_map(work.service, engine),
-            beliefs=self._parts.beliefs,
+            statuses=self._parts.beliefs,
             node=self._parts.vm,
             hall=self._parts.hall,
             share=self._parts.beliefs.estimate_share(nodes, read_clock()),
--- a/tests/core/traffic/test_chains.py
+++ b/tests/core/traffic/test_chains.py
@@ -22,7 +22,7 @@
 
 def make_chooser(
     fleet: Sequence[BackendServer],
-    beliefs: ServerStatuses | None = None,
+    statuses: ServerStatuses | None = None,
     hall: str = "osborne",
     *,
     board: LoadBoard | None = None,
@@ -32,7 +32,7 @@
 ) -> ChainChooser:
     return ChainChooser(
         layer_map=LayerMap(engine, fleet),
-        beliefs=beliefs or ServerStatuses(),
+        statuses=statuses or ServerStatuses(),
         node=VmId(node),
         hall=DataHall(hall),
         share=8.0,
@@ -47,9 +47,9 @@
 
 
 def choose(
-    fleet: Sequence[BackendServer], beliefs: ServerStatuses | None = None, hall: str = "osborne", node: str = "entry-1"
+    fleet: Sequence[BackendServer], statuses: ServerStatuses | None = None, hall: str = "osborne", node: str = "entry-1"
 ) -> Chain | None:
-    return make_chooser(fleet, beliefs, hall, node=node).choose(fleet)
+    return make_chooser(fleet, statuses, hall, node=node).choose(fleet)
 
 
 def place_fleet() -> list[BackendServer]:
@@ -65,10 +65,10 @@
 
 def test_chain_leaves_a_hall_with_a_full_server() -> None:
     fleet = place_fleet()
-    beliefs = ServerStatuses()
+    statuses = ServerStatuses()
     full = next(server for server in fleet if server.hall == "osborne")
-    beliefs[full.id].reserved = full.compute_room(ENGINE) / 8
-    chain = choose(fleet, beliefs)
+    statuses[full.id].reserved = full.compute_room(ENGINE) / 8
+    chain = choose(fleet, statuses)
     assert chain is not None
     assert full not in [part.server for part in chain.parts]
 
@@ -107,9 +107,9 @@
         make_server(2, "l40s", layers=(10, 30)),
         make_server(3, "a100", layers=(20, 80)),
     ]
-    beliefs = ServerStatuses()
-    beliefs[fleet[0].id].reserved = 0.9 * fleet[0].compute_room(ENGINE) / 8
-    chain = choose(fleet, beliefs)
+    statuses = ServerStatuses()
+    statuses[fleet[0].id].reserved = 0.9 * fleet[0].compute_room(ENGINE) / 8
+    chain = choose(fleet, statuses)
     assert chain is not None
     assert chain.parts[0] == Part(fleet[0], 0, 10)
     assert chain.parts[1].server is fleet[1]
@@ -118,8 +118,8 @@
 def test_choice_looks_at_few_holders_of_each_boundary() -> None:
     fleet = [make_server(number, "a100", layers=(40, 80)) for number in range(2, 200)]
     fleet.append(make_server(1, "a100", layers=(0, 40)))
-    beliefs = ServerStatuses()
-    chosen = {choose(fleet, beliefs) for _ in range(5 * MAX_HOLDERS)}
+    statuses = ServerStatuses()
+    chosen = {choose(fleet, statuses) for _ in range(5 * MAX_HOLDERS)}
     assert len(chosen) > MAX_HOLDERS  # a different sample each time
 
 
@@ -143,11 +143,11 @@
     fleet = [make_server(number, "l40s", layers=(0, 8)) for number in range(1, 21)]
     fleet += [make_server(21 + index, "a100", layers=(8 + 24 * index, 32 + 24 * index)) for index in range(3)]
     for node in ("entry-1", "entry-2", "entry-3"):
-        beliefs = ServerStatuses()
-        homes = {chain.first.id for _ in range(60) if (chain := choose(fleet, beliefs, node=node)) is not None}
+        statuses = ServerStatuses()
+        homes = {chain.first.id for _ in range(60) if (chain := choose(fleet, statuses, node=node)) is not None}
         for home in homes:
-            beliefs[home].reserved = fleet[0].compute_room(ENGINE)
-        chain = choose(fleet, beliefs, node=node)
+            statuses[home].reserved = fleet[0].compute_room(ENGINE)
+        chain = choose(fleet, statuses, node=node)
         assert chain is not None
         assert chain.first.id not in homes
 
@@ -186,9 +186,9 @@
 def test_first_server_with_all_places_taken_is_left() -> None:
     """Otherwise 30 requests per second wait 1 to 2 s for a slot on one first server while others have free slots."""
     fleet = [make_server(1, "a100", "osborne", (0, 80)), make_server(2, "l4", "malaga", (0, 80))]
-    beliefs = ServerStatuses()
-    beliefs[fleet[0].id].leading = fleet[0].slots // 8
-    chain = choose(fleet, beliefs)
+    statuses = ServerStatuses()
+    statuses[fleet[0].id].leading = fleet[0].slots // 8
+    chain = choose(fleet, statuses)
     assert chain is not None
     assert chain.first is fleet[1]
 
@@ -197,16 +197,16 @@
     """Estimated as its own load times the number of nodes, a free chain in a node's hall looked full."""
     fleet = [make_server(1, "a100", "osborne", (0, 80)), make_server(2, "l4", "malaga", (0, 80))]
     now = [100.0]
-    beliefs, board = ServerStatuses(), LoadBoard(lambda: now[0])
-    beliefs[fleet[0].id].leading = fleet[0].slots // 8
+    statuses, board = ServerStatuses(), LoadBoard(lambda: now[0])
+    statuses[fleet[0].id].leading = fleet[0].slots // 8
     board.record_follower(VmId("entry-2"), {})
-    chooser = make_chooser(fleet, beliefs, board=board)
+    chooser = make_chooser(fleet, statuses, board=board)
     free = chooser.choose(fleet)
     assert free is not None
     assert free.first is fleet[0]
     now[0] += 2 * MAX_SUM_AGE_S
     board.record_follower(VmId("entry-2"), {fleet[0].id: ServerLoad(fleet[0].slots, 0.0)})
-    full = make_chooser(fleet, beliefs, board=board).choose(fleet)
+    full = make_chooser(fleet, statuses, board=board).choose(fleet)
     assert full is not None
     assert full.first is fleet[1]
 
--- a/tests/core/traffic/test_losses.py
+++ b/tests/core/traffic/test_losses.py
@@ -69,27 +69,27 @@
 
 
 def test_told_loss_does_not_count_against_a_server_that_works_for_this_node() -> None:
-    beliefs = ServerStatuses()
-    beliefs[LOST].record_token(99.9)
-    assert not beliefs[LOST].record_reported_loss(103.0, 100.0)
-    assert beliefs[LOST].record_reported_loss(103.0, 100.0 + ALIVE_AGE_S)
-    assert beliefs[LOST].backoff_until == 103.0
+    statuses = ServerStatuses()
+    statuses[LOST].record_token(99.9)
+    assert not statuses[LOST].record_reported_loss(103.0, 100.0)
+    assert statuses[LOST].record_reported_loss(103.0, 100.0 + ALIVE_AGE_S)
+    assert statuses[LOST].backoff_until == 103.0
 
 
 def test_told_loss_is_not_told_on_as_an_own_finding() -> None:
-    beliefs = ServerStatuses()
-    beliefs[LOST].record_reported_loss(103.0, 100.0)
-    beliefs[OTHER].record_failure(100.0)
-    assert set(beliefs.list_failed(100.1)) == {OTHER}
-    beliefs[OTHER].record_token(100.2)
-    assert beliefs.list_failed(100.3) == {}
+    statuses = ServerStatuses()
+    statuses[LOST].record_reported_loss(103.0, 100.0)
+    statuses[OTHER].record_failure(100.0)
+    assert set(statuses.list_failed(100.1)) == {OTHER}
+    statuses[OTHER].record_token(100.2)
+    assert statuses.list_failed(100.3) == {}
 
 
 def test_refusal_by_a_server_that_should_be_full_is_no_loss() -> None:
     """Of many nodes, few have a recent token from a full server; the others took it for lost, for up to 8 s."""
-    beliefs = ServerStatuses()
-    beliefs[LOST].record_refusal(100.0, LIKELY_FULL_SHARE)
-    assert beliefs.list_failed(100.1) == {}
-    assert beliefs[LOST].backoff_until < 100.5
-    beliefs[OTHER].record_refusal(100.0, LIKELY_FULL_SHARE - 0.1)
-    assert set(beliefs.list_failed(100.1)) == {OTHER}
+    statuses = ServerStatuses()
+    statuses[LOST].record_refusal(100.0, LIKELY_FULL_SHARE)
+    assert statuses.list_failed(100.1) == {}
+    assert statuses[LOST].backoff_until < 100.5
+    statuses[OTHER].record_refusal(100.0, LIKELY_FULL_SHARE - 0.1)
+    assert set(statuses.list_failed(100.1)) == {OTHER}
--- a/tests/core/traffic/test_servers.py
+++ b/tests/core/traffic/test_servers.py
@@ -18,33 +18,33 @@
 
 
 def test_rest_grows_with_failures_in_a_row_up_to_a_limit() -> None:
-    belief = ServerStatuses()[make_server(1, "l4").id]
-    rests = [belief.record_failure(100.0) for _ in range(6)]
+    status = ServerStatuses()[make_server(1, "l4").id]
+    rests = [status.record_failure(100.0) for _ in range(6)]
     assert rests[0] == FIRST_BACKOFF_S
     assert rests == sorted(rests)
     assert rests[-1] == MAX_BACKOFF_S
 
 
 def test_resting_server_gets_no_work_until_its_rest_is_over() -> None:
-    beliefs = ServerStatuses()
+    statuses = ServerStatuses()
     servers = [make_server(number, "l4") for number in range(1, 4)]
-    beliefs[servers[0].id].record_failure(100.0)
-    assert servers[0] not in beliefs.list_eligible(servers, [], 100.1)
-    assert servers[0] in beliefs.list_eligible(servers, [], 100.0 + FIRST_BACKOFF_S)
+    statuses[servers[0].id].record_failure(100.0)
+    assert servers[0] not in statuses.list_eligible(servers, [], 100.1)
+    assert servers[0] in statuses.list_eligible(servers, [], 100.0 + FIRST_BACKOFF_S)
 
 
 def test_rest_counts_for_nothing_when_too_many_rest() -> None:
-    beliefs = ServerStatuses()
+    statuses = ServerStatuses()
     servers = [make_server(number, "l4") for number in range(1, 4)]
     for server in servers[:2]:
-        beliefs[server.id].record_failure(100.0)
-    assert len(beliefs.list_eligible(servers, [], 100.1)) == 3
+        statuses[server.id].record_failure(100.0)
+    assert len(statuses.list_eligible(servers, [], 100.1)) == 3
 
 
 def test_full_server_rests_for_a_moment_and_a_lost_one_for_longer() -> None:
     """With the long backoff, two full servers left no chain for up to 8 s; both had capacity again within a second."""
-    beliefs = ServerStatuses()
-    full, lost = beliefs[make_server(1, "l4").id], beliefs[make_server(2, "l4").id]
+    statuses = ServerStatuses()
+    full, lost = statuses[make_server(1, "l4").id], statuses[make_server(2, "l4").id]
     full.record_token(100.0)
     lost.record_token(100.0 - ALIVE_AGE_S - 0.1)
     for _ in range(5):
@@ -55,15 +55,15 @@
 
 
 def test_server_whose_address_has_another_id_gets_no_work() -> None:
-    beliefs = ServerStatuses()
+    statuses = ServerStatuses()
     server = make_server(1, "l4")
-    beliefs[server.id].is_replaced = True
-    assert not beliefs.list_eligible([server], [], 100.0)
+    statuses[server.id].is_replaced = True
+    assert not statuses.list_eligible([server], [], 100.0)
 
 
 def test_server_that_reports_many_errors_rests_and_one_with_few_does_not() -> None:
-    beliefs = ServerStatuses()
-    few, many = beliefs[make_server(1, "l4").id], beliefs[make_server(2, "l4").id]
+    statuses = ServerStatuses()
+    few, many = statuses[make_server(1, "l4").id], statuses[make_server(2, "l4").id]
     for number in range(40):
         if number % 7 == 0:
             few.record_error(100.0)
@@ -76,63 +76,63 @@
 
 @pytest.mark.parametrize(("told", "own", "share"), [(40, 5, 8.0), (3, 5, 1.0), (500, 5, MAX_LOAD_FACTOR * 8)])
 def test_share_of_the_load_is_what_servers_tell(told: int, own: int, share: float) -> None:
-    beliefs = ServerStatuses()
-    belief = beliefs[make_server(1, "l4").id]
-    belief.leading = own
-    belief.take_load(told, 100.0)
-    assert beliefs.estimate_share(8, 100.5) == share
+    statuses = ServerStatuses()
+    status = statuses[make_server(1, "l4").id]
+    status.leading = own
+    status.take_load(told, 100.0)
+    assert statuses.estimate_share(8, 100.5) == share
 
 
 def test_share_of_the_load_is_equal_without_fresh_word() -> None:
-    beliefs = ServerStatuses()
-    belief = beliefs[make_server(1, "l4").id]
-    belief.leading = 5
-    belief.take_load(40, 100.0)
-    assert beliefs.estimate_share(6, 110.0) == 6.0
+    statuses = ServerStatuses()
+    status = statuses[make_server(1, "l4").id]
+    status.leading = 5
+    status.take_load(40, 100.0)
+    assert statuses.estimate_share(6, 110.0) == 6.0
 
 
 def test_rest_that_a_server_asked_for_holds_also_when_all_rest() -> None:
-    beliefs = ServerStatuses()
+    statuses = ServerStatuses()
     servers = [make_server(number, "l4") for number in range(1, 4)]
     for server in servers:
-        beliefs[server.id].take_rest(103.0)
-    assert len(beliefs.list_eligible(servers, [], 101.0)) == 3  # for later parts of chains
-    assert not any(beliefs[server.id].may_take_request(101.0) for server in servers)
+        statuses[server.id].take_rest(103.0)
+    assert len(statuses.list_eligible(servers, [], 101.0)) == 3  # for later parts of chains
+    assert not any(statuses[server.id].may_take_request(101.0) for server in servers)
 
 
 def test_latest_end_of_several_rests_holds_and_a_success_between_does_not_end_it() -> None:
-    belief = ServerStatus()
-    belief.take_rest(105.0)
-    belief.take_rest(103.0)
-    belief.note_taken(sent_at=101.0)  # sent before the rest was asked for
-    assert not belief.claim_send(104.9)
-    assert belief.claim_send(105.0)
+    status = ServerStatus()
+    status.take_rest(105.0)
+    status.take_rest(103.0)
+    status.note_taken(sent_at=101.0)  # sent before the rest was asked for
+    assert not status.claim_send(104.9)
+    assert status.claim_send(105.0)
 
 
 def test_server_is_tried_by_one_request_at_a_time_after_its_rest() -> None:
-    belief = ServerStatus()
-    belief.take_rest(103.0)
-    assert belief.claim_send(103.0)
-    assert not belief.claim_send(103.0 + TRIAL_INTERVAL_S / 2)
-    assert belief.claim_send(103.0 + TRIAL_INTERVAL_S)  # the first one had no answer
-    belief.note_taken(sent_at=103.0)
-    assert belief.claim_send(103.0 + TRIAL_INTERVAL_S)
+    status = ServerStatus()
+    status.take_rest(103.0)
+    assert status.claim_send(103.0)
+    assert not status.claim_send(103.0 + TRIAL_INTERVAL_S / 2)
+    assert status.claim_send(103.0 + TRIAL_INTERVAL_S)  # the first one had no answer
+    status.note_taken(sent_at=103.0)
+    assert status.claim_send(103.0 + TRIAL_INTERVAL_S)
 
 
 def test_wait_for_a_server_is_the_longest_of_what_it_asks() -> None:
-    belief = ServerStatus()
-    assert belief.compute_wait(100.0) == 0
-    belief.permit_at = 100.5
-    assert belief.compute_wait(100.0) == 0.5
-    belief.take_rest(103.0)
-    assert belief.compute_wait(100.0) == 3.0
-    assert belief.claim_send(104.0)
-    assert belief.compute_wait(104.0) == pytest.approx(TRIAL_INTERVAL_S)
+    status = ServerStatus()
+    assert status.compute_wait(100.0) == 0
+    status.permit_at = 100.5
+    assert status.compute_wait(100.0) == 0.5
+    status.take_rest(103.0)
+    assert status.compute_wait(100.0) == 3.0
+    assert status.claim_send(104.0)
+    assert status.compute_wait(104.0) == pytest.approx(TRIAL_INTERVAL_S)
 
 
 def test_server_that_leaves_is_no_part_of_any_chain() -> None:
-    beliefs = ServerStatuses()
+    statuses = ServerStatuses()
     server = make_server(1, "l4")
-    beliefs[server.id].is_leaving = True
-    assert beliefs.list_eligible([server], [], 100.0) == []
-    assert not beliefs[server.id].may_take_request(100.0)
+    statuses[server.id].is_leaving = True
+    assert statuses.list_eligible([server], [], 100.0) == []
+    assert not statuses[server.id].may_take_request(100.0)
--- a/tests/rig/fleetmodel.py
+++ b/tests/rig/fleetmodel.py
@@ -179,7 +179,7 @@
             able = node.beliefs.list_eligible(self.servers, avoided, self.now)
             chooser = ChainChooser(
                 layer_map=self._layer_map,
-                beliefs=node.beliefs,
+                statuses=node.beliefs,
                 node=node.vm,
                 hall=node.hall,
                 share=node.beliefs.estimate_share(len(self._nodes), self.now),
