--- a/bench/chains.py
+++ b/bench/chains.py
@@ -9,11 +9,11 @@
 
 from core.traffic.samples import ENGINE, make_fleet
 from vaneturn_core.identifiers import DataHall, VmId
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.chains import ChainChooser
 from vaneturn_core.traffic.layermap import LayerMap
 from vaneturn_core.traffic.layout import LayoutPlanner
 from vaneturn_core.traffic.servers import BackendServer, ServerAddress, ServerId, ServerName
-from vaneturn_core.traffic.serverstatus import ServerStatuses
 
 FLEETS = (1, 3, 25)  # times the users' 33 servers
 ROUNDS = 9
--- a/packages/core/src/vaneturn_core/traffic/chains.py
+++ b/packages/core/src/vaneturn_core/traffic/chains.py
@@ -9,6 +9,7 @@
 from typing import Final
 
 from vaneturn_core.identifiers import DataHall, VmId
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.chain import Chain
 from vaneturn_core.traffic.configuration import EngineProfile
 from vaneturn_core.traffic.crossings import compute_crossing_share
@@ -17,7 +18,6 @@
 from vaneturn_core.traffic.layermap import Boundaries, HolderOptions, LayerMap, Option, Part, index_options
 from vaneturn_core.traffic.loads import LoadBoard
 from vaneturn_core.traffic.servers import BackendServer, ServerId
-from vaneturn_core.traffic.serverstatus import ServerStatuses
 
 GROWTH_WEIGHT: Final = 2.0  # of a server's step growth: a new request slows the others there by as much again
 LINK_WEIGHT: Final = 4.0  # of the time of a prompt on an inter-hall link: all who share the link wait as well
--- a/packages/node/src/vaneturn_node/traffic/process/daemon.py
+++ b/packages/node/src/vaneturn_node/traffic/process/daemon.py
@@ -14,11 +14,11 @@
 
 from vaneturn_core.faults import Fault
 from vaneturn_core.identifiers import DataHall, NodeId
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.configuration import ClientLimits
-from vaneturn_core.traffic.reachability import Reachability
+from vaneturn_core.traffic.hearing import Reachability
 from vaneturn_core.traffic.relays import RelayTimes, rank_candidate
 from vaneturn_core.traffic.servers import ServerAddress
-from vaneturn_core.traffic.serverstatus import ServerStatuses
 from vaneturn_core.traffic.settings import TrafficSettings, load_traffic_settings
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.clock import read_clock, watch_suspensions
--- a/packages/node/src/vaneturn_node/traffic/servers/directivekeeper.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/directivekeeper.py
@@ -6,10 +6,10 @@
 import random
 from typing import Final
 
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.directives import ServerDirectives
 from vaneturn_core.traffic.ratelimits import RateLimits
 from vaneturn_core.traffic.servers import BackendServer, ServerId
-from vaneturn_core.traffic.serverstatus import ServerStatuses
 from vaneturn_node.clock import read_clock
 
 MAX_SPREAD: Final = 0.3  # seconds over which nodes that were asked for rest at once return
--- a/packages/node/src/vaneturn_node/traffic/servers/exchange.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/exchange.py
@@ -11,17 +11,17 @@
 
 from vaneturn_core.identifiers import DataHall, ServiceName, VmId
 from vaneturn_core.traffic.arrivals import ArrivalRate
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.configuration import EngineProfile
 from vaneturn_core.traffic.crashes import CrashBoard
+from vaneturn_core.traffic.hearing import Reachability
 from vaneturn_core.traffic.layermap import LayerMap
 from vaneturn_core.traffic.loads import LoadBoard
 from vaneturn_core.traffic.losses import LossBoard
-from vaneturn_core.traffic.probedelay import ProbeDelay
+from vaneturn_core.traffic.patience import ProbeDelay
 from vaneturn_core.traffic.ratelimits import NodeHistory, PermitIssuer, RateLimits
-from vaneturn_core.traffic.reachability import Reachability
 from vaneturn_core.traffic.retries import WindowedRetryBudget
 from vaneturn_core.traffic.servers import BackendServer, ServerId
-from vaneturn_core.traffic.serverstatus import ServerStatuses
 from vaneturn_core.traffic.settings import Bounds
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.clock import read_clock
--- a/packages/node/src/vaneturn_node/traffic/servers/permits.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/permits.py
@@ -11,9 +11,9 @@
 from msgspec import Struct
 
 from vaneturn_core.identifiers import VmId
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.ratelimits import PermitIssuer, RateLimit, RateLimits, rank_issuers
 from vaneturn_core.traffic.servers import ServerId
-from vaneturn_core.traffic.serverstatus import ServerStatuses
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.clock import read_clock
 from vaneturn_node.http1.caller import Caller, Reply
--- a/packages/node/src/vaneturn_node/traffic/servers/reports.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/reports.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from vaneturn_core.traffic.reachability import Reachability
+from vaneturn_core.traffic.hearing import Reachability
 from vaneturn_core.traffic.servers import BackendServer, ServerId
 from vaneturn_node.clock import read_clock
 from vaneturn_node.http1.caller import Failed
--- a/packages/node/src/vaneturn_node/traffic/serving/requests.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/requests.py
@@ -9,13 +9,13 @@
 from typing import Final
 
 from vaneturn_core.identifiers import ServiceName
+from vaneturn_core.traffic.beliefs import ServerStatus
 from vaneturn_core.traffic.chain import Chain
 from vaneturn_core.traffic.configuration import TrafficCustomer, TrafficRoute
 from vaneturn_core.traffic.contents import Content, digest_content
 from vaneturn_core.traffic.crashes import CrashBoard
 from vaneturn_core.traffic.pace import Pause
 from vaneturn_core.traffic.servers import ServerId, ServerName
-from vaneturn_core.traffic.serverstatus import ServerStatus
 from vaneturn_node.clock import read_clock
 from vaneturn_node.http1.server import ClientRequest
 from vaneturn_node.platform.headers import Dispatch, RequestFacts
--- a/packages/node/src/vaneturn_node/traffic/sharing/changeclient.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changeclient.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from vaneturn_core.identifiers import VmId
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.loads import LoadBoard, Loads
 from vaneturn_core.traffic.relays import RelayTimes
-from vaneturn_core.traffic.serverstatus import ServerStatuses
 from vaneturn_core.traffic.view import PlatformView, StoreContact
 from vaneturn_node.clock import read_clock
 from vaneturn_node.http1.caller import Caller, Reply
--- a/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
@@ -12,9 +12,9 @@
 import anyio
 import msgspec
 
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.loads import MAX_SUM_AGE_S, LoadBoard
 from vaneturn_core.traffic.relays import RelayTimes
-from vaneturn_core.traffic.serverstatus import ServerStatuses
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.clock import read_clock
 from vaneturn_node.http1.caller import Arrival
--- a/packages/node/src/vaneturn_node/traffic/sharing/loadsharing.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/loadsharing.py
@@ -7,9 +7,9 @@
 import anyio
 
 from vaneturn_core.identifiers import VmId
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.loads import LoadBoard
 from vaneturn_core.traffic.relays import list_relays
-from vaneturn_core.traffic.serverstatus import ServerStatuses
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.traffic.sharing.changeclient import ChangeClient
 
--- a/tests/core/traffic/test_chains.py
+++ b/tests/core/traffic/test_chains.py
@@ -10,6 +10,7 @@
 
 from core.traffic.samples import ENGINE, LARGE_ENGINE, LARGE_HALLS, make_fleet, make_server, place
 from vaneturn_core.identifiers import DataHall, VmId
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.chain import Chain, Part, assert_chain
 from vaneturn_core.traffic.chains import MAX_HOLDERS, ChainChooser
 from vaneturn_core.traffic.configuration import EngineProfile
@@ -17,7 +18,6 @@
 from vaneturn_core.traffic.layermap import LayerMap
 from vaneturn_core.traffic.loads import MAX_SUM_AGE_S, LoadBoard
 from vaneturn_core.traffic.servers import BackendServer, ServerLoad
-from vaneturn_core.traffic.serverstatus import ServerStatuses
 
 
 def make_chooser(
--- a/tests/core/traffic/test_reachability.py
+++ b/tests/core/traffic/test_hearing.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from vaneturn_core.traffic.reachability import PROMPT_ANSWER_S, Reachability, compute_probe_timeout
+from vaneturn_core.traffic.hearing import PROMPT_ANSWER_S, Reachability, compute_probe_timeout
 
 
 class Clock:
--- a/tests/core/traffic/test_losses.py
+++ b/tests/core/traffic/test_losses.py
@@ -5,9 +5,9 @@
 import pytest
 
 from vaneturn_core.identifiers import VmId
+from vaneturn_core.traffic.beliefs import ALIVE_AGE_S, LIKELY_FULL_SHARE, ServerStatuses
 from vaneturn_core.traffic.losses import MAX_REPORT_AGE_S, Finding, LossBoard
 from vaneturn_core.traffic.servers import ServerId
-from vaneturn_core.traffic.serverstatus import ALIVE_AGE_S, LIKELY_FULL_SHARE, ServerStatuses
 
 LOST, OTHER = ServerId("i-1"), ServerId("i-2")
 
--- a/tests/core/traffic/test_probedelay.py
+++ b/tests/core/traffic/test_patience.py
@@ -8,7 +8,7 @@
 import pytest
 
 from vaneturn_core.traffic.pace import Pause, StreamPace
-from vaneturn_core.traffic.probedelay import (
+from vaneturn_core.traffic.patience import (
     ASSUMED_RESUME_S,
     FIRST_ORDINARY_PAUSE_S,
     MAX_SILENCE_S,
--- a/tests/core/traffic/test_servers.py
+++ b/tests/core/traffic/test_servers.py
@@ -5,7 +5,7 @@
 import pytest
 
 from core.traffic.samples import make_server
-from vaneturn_core.traffic.serverstatus import (
+from vaneturn_core.traffic.beliefs import (
     ALIVE_AGE_S,
     FIRST_BACKOFF_S,
     FULL_BACKOFF_S,
--- a/tests/node/traffic/following/test_serverentries.py
+++ b/tests/node/traffic/following/test_serverentries.py
@@ -22,10 +22,10 @@
 from standins.platform.operator import make_configuration
 from vaneturn_core.faults import Fault
 from vaneturn_core.identifiers import NodeId, VmId
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.contents import Content
 from vaneturn_core.traffic.crashes import Suspicion
 from vaneturn_core.traffic.servers import BackendServer, ServerName, identify_start
-from vaneturn_core.traffic.serverstatus import ServerStatuses
 from vaneturn_core.traffic.view import PlatformView, StoreContact
 from vaneturn_node.http1.caller import Caller, Failed, Reply
 from vaneturn_node.http1.pool import LinkPool
--- a/tests/node/traffic/samples.py
+++ b/tests/node/traffic/samples.py
@@ -5,9 +5,9 @@
 import time
 
 from vaneturn_core.identifiers import DataHall, VmId
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.crashes import CrashBoard
-from vaneturn_core.traffic.reachability import Reachability
-from vaneturn_core.traffic.serverstatus import ServerStatuses
+from vaneturn_core.traffic.hearing import Reachability
 from vaneturn_core.traffic.settings import Bounds
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.clock import read_clock
--- a/tests/node/traffic/servers/test_looks.py
+++ b/tests/node/traffic/servers/test_looks.py
@@ -14,7 +14,7 @@
 
 from node.traffic.servers.test_lossfinding import PARTS, SERVERS, Servers, find_lost, make_finder, make_node
 from rig.virtualtime import VirtualClock, VirtualTimeLoop
-from vaneturn_core.traffic.reachability import PROMPT_ANSWER_S
+from vaneturn_core.traffic.hearing import PROMPT_ANSWER_S
 from vaneturn_node.http1.link import HttpLink, LinkError
 from vaneturn_node.traffic.servers.exchange import TrafficParts
 
--- a/tests/node/traffic/servers/test_lossfinding.py
+++ b/tests/node/traffic/servers/test_lossfinding.py
@@ -16,9 +16,9 @@
 from core.traffic.samples import make_server
 from node.traffic.samples import make_parts
 from vaneturn_core.identifiers import RequestId
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.chain import Chain, Part
-from vaneturn_core.traffic.reachability import PROMPT_ANSWER_S
-from vaneturn_core.traffic.serverstatus import ServerStatuses
+from vaneturn_core.traffic.hearing import PROMPT_ANSWER_S
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.clock import read_clock
 from vaneturn_node.http1.caller import Caller, Failed, Reply
--- a/tests/node/traffic/servers/test_permits.py
+++ b/tests/node/traffic/servers/test_permits.py
@@ -10,9 +10,9 @@
 from core.traffic.samples import make_server
 from node.traffic.samples import make_parts
 from vaneturn_core.identifiers import VmId
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.directives import ServerDirectives
 from vaneturn_core.traffic.ratelimits import NodeHistory, rank_issuers
-from vaneturn_core.traffic.serverstatus import ServerStatuses
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.clock import read_clock
 from vaneturn_node.http1.caller import Caller, Failed, Reply
--- a/tests/node/traffic/serving/test_streamtry.py
+++ b/tests/node/traffic/serving/test_streamtry.py
@@ -14,8 +14,8 @@
 
 from core.traffic.samples import make_server
 from node.traffic.samples import make_parts
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.chain import Chain, Part
-from vaneturn_core.traffic.serverstatus import ServerStatuses
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.http1.caller import Caller
 from vaneturn_node.http1.pool import LinkPool
--- a/tests/node/traffic/sharing/test_changes.py
+++ b/tests/node/traffic/sharing/test_changes.py
@@ -12,10 +12,10 @@
 from core.traffic.samples import make_server
 from node.traffic.samples import Answer, make_crash_sharing, make_parts, make_sharing
 from vaneturn_core.identifiers import VmId
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.loads import MAX_SUM_AGE_S, LoadBoard
 from vaneturn_core.traffic.relays import RelayTimes
 from vaneturn_core.traffic.servers import ServerId, ServerLoad
-from vaneturn_core.traffic.serverstatus import ServerStatuses
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.http1.caller import Caller, Failed, Reply
 from vaneturn_node.http1.pool import LinkPool
--- a/tests/node/traffic/sharing/test_losssharing.py
+++ b/tests/node/traffic/sharing/test_losssharing.py
@@ -11,10 +11,10 @@
 from core.traffic.samples import make_server
 from node.traffic.samples import make_parts
 from vaneturn_core.identifiers import VmId
+from vaneturn_core.traffic.beliefs import FIRST_BACKOFF_S, ServerStatuses
 from vaneturn_core.traffic.losses import Finding
 from vaneturn_core.traffic.relays import list_relays, rank_relays
 from vaneturn_core.traffic.servers import ServerId
-from vaneturn_core.traffic.serverstatus import FIRST_BACKOFF_S, ServerStatuses
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.http1.caller import Caller, Failed, Reply
 from vaneturn_node.http1.pool import LinkPool
--- a/tests/node/traffic/test_parsing.py
+++ b/tests/node/traffic/test_parsing.py
@@ -15,11 +15,11 @@
 from node.traffic.samples import make_crash_sharing, make_parts, make_sharing
 from vaneturn_core.faults import Fault
 from vaneturn_core.identifiers import VmId
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.configuration import TrafficConfiguration
 from vaneturn_core.traffic.loads import LoadBoard
 from vaneturn_core.traffic.relays import RelayTimes
 from vaneturn_core.traffic.servers import BackendServer, ServerAddress, ServerName
-from vaneturn_core.traffic.serverstatus import ServerStatuses
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.http1.caller import Caller, Failed, Reply
 from vaneturn_node.http1.pool import LinkPool
--- a/tests/rig/ablation.py
+++ b/tests/rig/ablation.py
@@ -57,7 +57,7 @@
         "new work for a server that has just failed",
         (
             Edit(
-                f"{CORE}/serverstatus.py",
+                f"{CORE}/beliefs.py",
                 "[server for server in eligible if self[server.id].backoff_until <= now]",
                 "eligible",
             ),
@@ -66,7 +66,7 @@
     Mechanism(
         "short-rest-of-full",
         "long rest of a server that only lacks room",
-        (Edit(f"{CORE}/serverstatus.py", "if now - self.token_at > ALIVE_AGE_S and", "if now > float('-inf') and"),),
+        (Edit(f"{CORE}/beliefs.py", "if now - self.token_at > ALIVE_AGE_S and", "if now > float('-inf') and"),),
     ),
     Mechanism(
         "detour",
--- a/tests/rig/fleetmodel.py
+++ b/tests/rig/fleetmodel.py
@@ -15,6 +15,7 @@
 from dataclasses import dataclass, field
 
 from vaneturn_core.identifiers import DataHall, VmId
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.chain import Chain
 from vaneturn_core.traffic.chains import ChainChooser
 from vaneturn_core.traffic.configuration import EngineProfile
@@ -23,7 +24,6 @@
 from vaneturn_core.traffic.losses import Finding, LossBoard
 from vaneturn_core.traffic.retries import WindowedRetryBudget
 from vaneturn_core.traffic.servers import BackendServer, ServerId, ServerLoad
-from vaneturn_core.traffic.serverstatus import ServerStatuses
 
 TELL_INTERVAL = 1.0  # seconds between two words of a relay to a node
 WORD_LAG = 0.8  # seconds from the counting of a load to its arrival at a node, over two relays
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -31,7 +31,7 @@
         f"{SYSTEM}/test_directives.py::test_server_that_asked_for_rest_gets_no_more_requests",
         (
             Edit(
-                f"{CORE}/serverstatus.py",
+                f"{CORE}/beliefs.py",
                 "return self.is_leaving or now < self.rest_until or is_trial_pending",
                 "return False",
             ),
@@ -51,12 +51,12 @@
     Proof(
         "nodes look again right before a send",
         "tests/core/traffic/test_servers.py::test_server_is_tried_by_one_request_at_a_time_after_its_rest",
-        (Edit(f"{CORE}/serverstatus.py", "        if self.is_closed(now):\n            return False\n", ""),),
+        (Edit(f"{CORE}/beliefs.py", "        if self.is_closed(now):\n            return False\n", ""),),
     ),
     Proof(
         "a server is tried by one request at a time after its rest",
         "tests/core/traffic/test_servers.py::test_server_is_tried_by_one_request_at_a_time_after_its_rest",
-        (Edit(f"{CORE}/serverstatus.py", "is_trial_pending = self.is_returning and", "is_trial_pending = False and"),),
+        (Edit(f"{CORE}/beliefs.py", "is_trial_pending = self.is_returning and", "is_trial_pending = False and"),),
     ),
     Proof(
         "nodes without a permit return one after the other",
@@ -114,7 +114,7 @@
     Proof(
         "a server that drains gets no new work",
         f"{SYSTEM}/test_plain.py::test_draining_server_gets_no_new_work",
-        (Edit(f"{CORE}/serverstatus.py", "if server.state is ServerState.READY and", "if"),),
+        (Edit(f"{CORE}/beliefs.py", "if server.state is ServerState.READY and", "if"),),
     ),
     Proof(
         "an event is passed on only when it is whole",
@@ -290,7 +290,7 @@
         "tests/node/traffic/sharing/test_losssharing.py::test_loss_found_behind_two_relays_is_known_to_all_relays",
         (
             Edit(f"{TRAFFIC}/sharing/losssharing.py", "if taken:", "if False:"),
-            Edit(f"{CORE}/serverstatus.py", "self.reported_until = until\n", "pass\n"),
+            Edit(f"{CORE}/beliefs.py", "self.reported_until = until\n", "pass\n"),
         ),
     ),
     Proof(
@@ -370,13 +370,13 @@
     ),
     Proof(
         "a silence is borne for what the caller leaves",
-        "tests/core/traffic/test_probedelay.py::test_streams_over_a_lost_server_go_on_in_time[1]",
-        (Edit(f"{CORE}/probedelay.py", "if objective is None or normal_pause is None:", "if True:"),),
+        "tests/core/traffic/test_patience.py::test_streams_over_a_lost_server_go_on_in_time[1]",
+        (Edit(f"{CORE}/patience.py", "if objective is None or normal_pause is None:", "if True:"),),
     ),
     Proof(
         "a look ends beside the answers of most others",
-        "tests/core/traffic/test_reachability.py::test_silence_shows_beside_the_answers_of_the_same_look",
-        (Edit(f"{CORE}/reachability.py", "if 2 * len(answers) <= asked:", "if True:"),),
+        "tests/core/traffic/test_hearing.py::test_silence_shows_beside_the_answers_of_the_same_look",
+        (Edit(f"{CORE}/hearing.py", "if 2 * len(answers) <= asked:", "if True:"),),
     ),
     Proof(
         "a part that had just worked is asked soon after",
