--- a/packages/node/src/vaneturn_node/traffic/duties/__init__.py
+++ b/packages/node/src/vaneturn_node/traffic/duties/__init__.py
@@ -1,1 +1,1 @@
-"""What a node writes to the store and orders servers to hold. It imports the servers room alone."""
+"""Registration, the placer's tenure and orders to servers. Of its sibling packages it may import `servers` only."""
--- a/packages/node/src/vaneturn_node/traffic/duties/placing.py
+++ b/packages/node/src/vaneturn_node/traffic/duties/placing.py
@@ -1,4 +1,4 @@
-"""Orders servers what to hold, while this node has the tenure."""
+"""Assigns layers to backend servers while this node holds the tenure."""
 
 from __future__ import annotations
 
@@ -18,11 +18,12 @@
 from vaneturn_node.platform.servers import OrderOutcome, ServerCalls
 from vaneturn_node.traffic.duties.tenure import Tenure
 
-ROUND: Final = 0.3  # seconds between looks
-SETTLE_TIME: Final = 1.3  # seconds without a new server before the first plan, and before one becomes a spare:
-# servers appear one after another, and in a release each new one comes a second before the old one leaves
-LOAD_WAIT: Final = 20.0  # seconds after which an order that shows no effect is given again
-MOVE_INTERVAL: Final = 4.0  # seconds between moves, for the effect of one to show
+ROUND: Final = 0.3  # seconds between planning rounds
+# Seconds for which the set of servers must be unchanged before the first plan, and before a server becomes a spare.
+# Servers appear one after another, and in a release each new one appears a second before the old one leaves.
+SETTLE_TIME: Final = 1.3
+LOAD_WAIT: Final = 20.0  # seconds after which an order without visible effect is repeated
+MOVE_INTERVAL: Final = 4.0  # seconds between moves, so that the effect of one shows before the next
 RETRY_AFTER_SILENCE: Final = 0.7  # seconds
 
 logger = logging.getLogger(__name__)
@@ -30,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _Pending:
-    """An order that was taken and has not shown in the list yet."""
+    """An order, or the delay after a failed one. It ends when the list shows the layers, or when it expires."""
 
     layers: LayerRange
     until: float
 
 
 class Placer:
-    """One task; it decides anew each round from the list of servers."""
+    """Plans each round from scratch, based on the current list of servers, and sends the orders."""
 
     def __init__(self, tenure: Tenure, view: PlatformView, calls: ServerCalls) -> None:
         self._tenure = tenure
@@ -49,7 +50,7 @@
         self._moved_at = float("-inf")
 
     async def run(self) -> None:
-        """Plan and order until cancelled."""
+        """Plan and send orders until cancelled."""
         while True:
             await anyio.sleep(ROUND)
             if not self._tenure.is_sure() or self._view.configuration is None:
@@ -83,14 +84,14 @@
             await self._order_all(placements)
 
     def _drop_settled(self, servers: list[BackendServer], now: float) -> None:
-        """Forget the orders that have shown their effect, or should have long since."""
+        """Drop orders that took effect, that expired, or whose server is no longer listed."""
         held = {server.id: server.layers for server in servers}
         for server, pending in list(self._pending.items()):
             if server not in held or pending.layers in held[server] or pending.until <= now:
                 del self._pending[server]
 
     def _imagine(self, server: BackendServer) -> BackendServer:
-        """Give a server as it will be when its order has taken effect."""
+        """Return the server as it will be once its pending order has taken effect."""
         pending = self._pending.get(server.id)
         if pending is None:
             return server
@@ -102,11 +103,11 @@
                 tasks.start_soon(self._order, placement)
 
     async def _order(self, placement: Placement) -> None:
-        """Order one server, on the number of orders it has begun: one that comes late finds another number."""
+        """Send one order, on condition of the number of orders that the server has begun: a late one is rejected."""
         server = placement.server
         report = await self._calls.read_report(server)
         if isinstance(report, Failed):
-            logger.info("server not asked", extra={"server": server.id, "cause": report.cause})
+            logger.info("report of server not available", extra={"server": server.id, "cause": report.cause})
             self._wait(placement, RETRY_AFTER_SILENCE)
             return
         if report.is_loading or placement.layers in report.layers:
--- a/packages/node/src/vaneturn_node/traffic/duties/records.py
+++ b/packages/node/src/vaneturn_node/traffic/duties/records.py
@@ -1,4 +1,4 @@
-"""What nodes keep in the store for each other."""
+"""Records that nodes keep for each other in the metadata store."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class NodeRecord(Struct, frozen=True):
-    """A node that shares limits with the others."""
+    """The record of a registered node; the rate limits of servers are shared among registered nodes."""
 
-    peer_address: str  # where it tells others of changes
+    peer_address: str  # where other nodes ask it for changes
 
 
 class TenureHolder(Struct, frozen=True):
-    """The node that gives orders; the fence of its orders is the revision of the record."""
+    """The node that may send orders; the fence of its orders is the revision of this record."""
 
     node: NodeId
     vm: VmId
@@ -33,7 +33,7 @@
 
 
 def decode_node(value: bytes) -> NodeRecord | None:
-    """Decode the record of a node; none if it is not understood, or its address is none."""
+    """Decode the record of a node; None if it is malformed or its address is invalid."""
     try:
         record = msgspec.json.decode(value, type=NodeRecord)
     except (msgspec.DecodeError, RecursionError):
@@ -42,12 +42,12 @@
 
 
 def encode_holder(holder: TenureHolder) -> bytes:
-    """Encode the record of the holder."""
+    """Encode the record of the tenure's holder."""
     return msgspec.json.encode(holder)
 
 
 def decode_holder(value: bytes) -> TenureHolder | None:
-    """Decode the record of the holder; none if it is not understood."""
+    """Decode the record of the tenure's holder; None if it is malformed."""
     try:
         return msgspec.json.decode(value, type=TenureHolder)
     except (msgspec.DecodeError, RecursionError):
--- a/packages/node/src/vaneturn_node/traffic/duties/registration.py
+++ b/packages/node/src/vaneturn_node/traffic/duties/registration.py
@@ -1,4 +1,4 @@
-"""Tells the other nodes that this one is there: a record under a lease."""
+"""Registers this node with the other nodes, as a record under a lease in the metadata store."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from vaneturn_node.platform.store import Lease, LeaseOver, PlatformStore
 from vaneturn_node.traffic.duties.records import NODES_PREFIX, NodeRecord, encode_node
 
-TERM: Final = 20.0  # seconds; a node too many only makes the others' shares smaller
-BEAT: Final = 6.0  # seconds
-RETRY: Final = 1.0  # seconds
+TERM: Final = 20.0  # seconds; long, since the record of a lost node only makes the shares of the others smaller
+BEAT: Final = 6.0  # seconds between renewals of the lease
+RETRY: Final = 1.0  # seconds after a failure
 
 logger = logging.getLogger(__name__)
 
 
 class Registration:
-    """Keeps the record of this node."""
+    """Writes the record of this node and renews its lease."""
 
     def __init__(self, store: PlatformStore, vm: VmId, peer_address: str) -> None:
         self._store = store
@@ -29,7 +29,7 @@
         self._is_stopping = False
 
     async def run(self) -> None:
-        """Keep the record until cancelled."""
+        """Keep the node registered until cancelled."""
         while not self._is_stopping:
             is_kept = await (self._register() if self._lease is None else self._keep(self._lease))
             await anyio.sleep(BEAT if is_kept else RETRY)
@@ -47,7 +47,7 @@
     async def _keep(self, lease: int) -> bool:
         kept = await self._store.keep_lease(lease)
         if isinstance(kept, LeaseOver):
-            logger.info("registration lapsed", extra={"lease": lease})
+            logger.info("registration lapsed; registering again", extra={"lease": lease})
             self._lease = None
             return False
         return isinstance(kept, Lease)
--- a/packages/node/src/vaneturn_node/traffic/duties/tenure.py
+++ b/packages/node/src/vaneturn_node/traffic/duties/tenure.py
@@ -1,7 +1,7 @@
 """The tenure of the one node that orders servers: a record under a lease in the platform's store.
 
-The fence of orders is the revision of the record, which only grows. The holder counts its lease from before the call
-that renewed it was sent, so it is never surer than the store.
+Orders carry the revision of the record as their fence; it only grows. The holder counts its lease from the moment
+before it sends the renewal, so for the holder the lease ends no later than for the store.
 """
 
 from __future__ import annotations
@@ -18,26 +18,28 @@
 from vaneturn_node.platform.store import Lease, LeaseOver, MaybeDone, NotDone, PlatformStore, StoreConflict
 from vaneturn_node.traffic.duties.records import TENURE_KEY, TenureHolder, decode_holder, encode_holder
 
-TERM: Final = 4.0  # seconds of the lease; without orders for so long, a loss stays unrepaired
-BEAT: Final = 1.2  # seconds between renewals: two may fail
-MARGIN: Final = 0.8  # seconds before the end of the lease from which no order is sent, for the order's own time
-CANDIDACY_DELAY: Final = 0.4  # seconds between looks, full jitter
-# seconds that each candidate leaves to the one before it and to the news of it, which is 0.2 s on the way: 19 of 23
-# nodes took part when a holder had gone, with three calls on the store each
+# Seconds of the lease. After the loss of a holder nobody sends orders for this time, so lost layers stay missing.
+TERM: Final = 4.0
+BEAT: Final = 1.2  # seconds between renewals; two in a row may fail
+MARGIN: Final = 0.8  # seconds before the end of the lease in which no order is sent, so that none arrives after it
+CANDIDACY_DELAY: Final = 0.4  # seconds between checks whether the tenure is free; upper bound of a random delay
+# Seconds that a candidate waits for each one ranked before it. The time lets that one take the tenure and the news of
+# it arrive, which takes 0.2 s. Without the wait, 19 of 23 nodes tried at once after the loss of a holder, with three
+# calls to the store each.
 TURN: Final = 0.3
 
 logger = logging.getLogger(__name__)
 
 
 class Tenure:
-    """Holds the tenure, or waits for its turn."""
+    """Keeps the tenure, or takes it when nobody holds it."""
 
     def __init__(
         self, store: PlatformStore, node: NodeId, vm: VmId, rank: Callable[[], int | None] = lambda: 0
     ) -> None:
-        """Prepare.
+        """Prepare without the tenure.
 
-        :param rank: of this node among those that may take the tenure, from 0; none while it may not.
+        :param rank: gives this node's rank among the candidates, from 0, or None while it may not take the tenure.
         """
         self._store = store
         self._rank = rank
@@ -46,27 +48,27 @@
         self._sure_until = float("-inf")
         self._record_revision = 0
         self._holder: TenureHolder | None = None
-        self._is_known = False  # the record, or its absence, was read once
+        self._is_known = False  # the record, or its absence, has been read
         self._is_stopping = False
 
     @property
     def fence(self) -> int:
-        """The fence of orders of this node."""
+        """The fence for orders of this node."""
         return self._record_revision
 
     def is_sure(self) -> bool:
-        """Tell whether this node is the only one that may order, long enough for an order to arrive."""
+        """Tell whether this node holds the tenure for long enough that an order sent now arrives within it."""
         return self._is_holder() and read_clock() < self._sure_until - MARGIN
 
     def note_holder(self, value: bytes | None, revision: int) -> None:
-        """Take the record as the store holds it; none when there is no holder."""
+        """Take over the record from the store; a value of None means that nobody holds the tenure."""
         self._is_known = True
         self._holder = decode_holder(value) if value is not None else None
         self._record_revision = revision if self._holder is not None else 0
 
     def note_fenced(self) -> None:
-        """Take note that a server has seen a newer fence: this tenure is over."""
-        logger.warning("a server has seen a newer fence", extra={"fence": self.fence})
+        """End this tenure, since a server has seen a newer fence."""
+        logger.warning("server has seen a newer fence; giving up the tenure", extra={"fence": self.fence})
         self._sure_until = float("-inf")
         self._lease = None
 
@@ -74,7 +76,7 @@
         return self._holder is not None and self._holder.node == self._own.node
 
     async def run(self) -> None:
-        """Keep the tenure, or take it when nobody holds it, until cancelled."""
+        """Keep the tenure, or try to take it when nobody holds it, until cancelled."""
         while not self._is_stopping:
             if self._lease is not None and self._is_holder():
                 await self._keep(self._lease)
@@ -89,7 +91,7 @@
                 await self._take()
 
     def _is_free(self) -> bool:
-        """Tell whether nobody holds the tenure, as far as is known, and this node may take it."""
+        """Tell whether, as far as this node knows, nobody holds the tenure, and this node is not stopping."""
         return self._is_known and self._holder is None and not self._is_stopping
 
     async def _keep(self, lease: int) -> None:
@@ -116,13 +118,13 @@
         self._lease = lease.id
         self._sure_until = started + lease.time
         if isinstance(written, MaybeDone):
-            return  # the watch tells whether the record is there
+            return  # the watch of the store will show whether the record was written
         self._holder = self._own
         self._record_revision = written
         logger.info("tenure taken", extra={"fence": written})
 
     async def give_up(self) -> None:
-        """Leave the tenure at a planned stop, so that the next node need not wait."""
+        """Give up the tenure at a planned stop, so that the next node need not wait for the lease to run out."""
         self._is_stopping = True
         lease, self._lease = self._lease, None
         self._sure_until = float("-inf")
