--- a/packages/node/src/vaneturn_node/traffic/process/daemon.py
+++ b/packages/node/src/vaneturn_node/traffic/process/daemon.py
@@ -1,4 +1,4 @@
-"""A node on the users' platform: wiring, start, reload and planned stop."""
+"""A node on the users' platform: construction, start, reload of the settings and planned stop."""
 
 from __future__ import annotations
 
@@ -49,14 +49,14 @@
 from vaneturn_node.traffic.sharing.losssharing import LossSharing
 
 READINESS_PATH: Final = "/api/readyz"
-STOP_LOOK: Final = 0.05  # seconds between looks whether the last request has ended
-BACKLOG: Final = 512  # connections that wait to be accepted
+STOP_LOOK: Final = 0.05  # seconds between checks whether the process may end
+BACKLOG: Final = 512  # connections waiting to be accepted
 
 logger = logging.getLogger(__name__)
 
 
 class TrafficNode:
-    """All parts of a node."""
+    """The components of a node and its listeners."""
 
     def __init__(self, settings: TrafficSettings, path: Path) -> None:
         self._settings = settings
@@ -134,7 +134,7 @@
         )
 
     async def run(self) -> None:
-        """Run until a planned stop has ended."""
+        """Run until a planned stop is complete."""
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
             async with anyio.create_task_group() as tasks:
                 for background in (self._follower.run, self._tenure.run, self._registration.run, self._placer.run):
@@ -182,12 +182,12 @@
         scope.cancel()
 
     async def _give_up_duties(self) -> None:
-        """Leave the duties to other nodes at once; what is under way here goes on without them."""
+        """Hand the duties over to other nodes at once; requests in progress do not need them."""
         await self._tenure.give_up()
         await self._registration.give_up()
 
     def _reload(self) -> None:
-        """Read the settings again; what can change while running is the log level, the rest at the next start."""
+        """Read the settings again and apply the log level; the other settings take effect at the next start."""
         settings = load_traffic_settings(self._path)
         if isinstance(settings, Fault):
             logger.error("settings not reloaded", extra={"fault": str(settings)})
@@ -228,7 +228,7 @@
 async def _accept(
     listener: Listener[SocketStream], serve: Callable[[SocketStream], Awaitable[None]], tasks: anyio.abc.TaskGroup
 ) -> None:
-    """Accept connections until the listener is closed; connections go on after that."""
+    """Accept connections until the listener is closed; open connections are served beyond that."""
     try:
         await listener.serve(serve, tasks)
     except* anyio.ClosedResourceError:
@@ -236,7 +236,7 @@
 
 
 def run_traffic_node(settings: TrafficSettings, path: Path) -> None:
-    """Run a node on the users' platform until SIGTERM or SIGINT."""
+    """Run a node on the users' platform until a planned stop by SIGTERM or SIGINT is complete."""
     node = TrafficNode(settings, path)
     configure_logs(settings.log_level, settings.vm, node.id)
     anyio.run(node.run)
--- a/packages/node/src/vaneturn_node/traffic/process/inspection.py
+++ b/packages/node/src/vaneturn_node/traffic/process/inspection.py
@@ -1,4 +1,4 @@
-"""Answers operators: metrics, the state of the node, and what became of a request."""
+"""Operators' HTTP interface: metrics, the state of the node, and how a request ended."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Inspection:
-    """The handler of the metrics address."""
+    """Handles requests to the metrics address."""
 
     def __init__(
         self,
@@ -46,10 +46,10 @@
         self._tenure = tenure
         self._follower = follower
         self._lifecycle = lifecycle
-        self.in_progress = 0  # requests; kept by the answerer
+        self.in_progress = 0  # requests; set before each request to this handler
 
     async def answer(self, request: ClientRequest, answer: ClientAnswer) -> None:
-        """Answer one operator's request."""
+        """Answer one request of an operator."""
         if request.path == "/metrics":
             await answer.send_whole(200, _TEXT, self._render_metrics())
         elif request.path == "/state":
@@ -61,7 +61,7 @@
             await answer.send_whole(404, [], b"")
 
     def _render_metrics(self) -> bytes:
-        from vaneturn_node.traffic.process.metricstext import Gauges, render_metrics  # noqa: PLC0415 # see there
+        from vaneturn_node.traffic.process.metricstext import Gauges, render_metrics  # noqa: PLC0415 # the docstring of metricstext.py says why
 
         view = self._parts.view
         beliefs, now = self._parts.beliefs, read_clock()
--- a/packages/node/src/vaneturn_node/traffic/process/metricstext.py
+++ b/packages/node/src/vaneturn_node/traffic/process/metricstext.py
@@ -1,7 +1,7 @@
-"""The metrics of a node's traffic in text form.
+"""The metrics of a node's traffic in the text format of Prometheus.
 
-Imported when an operator first asks for them: the library takes 58 modules along, and 3.7 of the 17.6 MB of a node that
-has just started; after a loss of power of all nodes clients wait for its import.
+Import this module only when metrics are first requested. The metrics library imports 58 modules and takes 3.7 MB of the
+17.6 MB of a freshly started node, and when all nodes start after a power loss, clients would wait for its import.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Gauges:
-    """What is read when the metrics are asked for."""
+    """Values that are read at the time of the request."""
 
-    age: float  # seconds since the store confirmed what is believed
-    ends: int  # of servers, that count against requests
-    servers: int  # in the list
-    limited: int  # servers that limit the rate of requests
-    closed: int  # servers that asked this node for rest, or said that they leave
+    age: float  # seconds since the store last confirmed the view
+    ends: int  # crashes of servers that count against requests
+    servers: int  # listed backend servers
+    limited: int  # servers with a rate limit
+    closed: int  # servers that asked this node for a rest or announced that they leave
 
 
 class TrafficCollector(Collector):
-    """Gives what was counted as metrics of the library."""
+    """Converts the counters and gauges to metrics of the library."""
 
     def __init__(self, metrics: TrafficMetrics, gauges: Gauges) -> None:
         self._metrics = metrics
         self._gauges = gauges
 
     def collect(self) -> Iterator[Metric]:
-        """Give each metric."""
+        """Yield each metric."""
         endings = CounterMetricFamily("vaneturn_requests", "Requests by how they ended", labels=["ending"])
         for ending, count in self._metrics.endings.items():
             endings.add_metric([ending], count)
@@ -60,7 +60,7 @@
 
 
 def render_metrics(metrics: TrafficMetrics, gauges: Gauges) -> bytes:
-    """Give all metrics in text form."""
+    """Render all metrics as text."""
     registry = CollectorRegistry()
     registry.register(TrafficCollector(metrics, gauges))
     return generate_latest(registry)
--- a/packages/node/src/vaneturn_node/traffic/process/stopping.py
+++ b/packages/node/src/vaneturn_node/traffic/process/stopping.py
@@ -1,4 +1,4 @@
-"""The state of the process: starting, serving, stopping."""
+"""The phases of a planned stop: serving, stopping, closed to clients, over."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 from vaneturn_node.clock import read_clock
 
-UNREADY_TIME: Final = 2.6  # seconds the platform needs to notice that a node is not ready, and new clients to stop
-CUT_MARGIN: Final = 0.8  # seconds before the platform ends the process at which the last answers are broken off
+UNREADY_TIME: Final = 2.6  # seconds until the platform notices that a node is not ready and sends no new clients
+CUT_MARGIN: Final = 0.8  # seconds before the platform kills the process; requests still in progress are aborted then
 
 
 class Lifecycle:
-    """Knows whether the process is stopping, and closes idle connections then."""
+    """Tracks the planned stop of the process, and closes idle connections when it begins."""
 
     def __init__(self, stop_time: float) -> None:
-        """Begin as serving.
+        """Begin in the serving phase.
 
-        :param stop_time: seconds from SIGTERM until the platform ends the process.
+        :param stop_time: seconds from SIGTERM until the platform kills the process.
         """
         self._stop_time = stop_time
         self.stopped_at: float | None = None
@@ -26,7 +26,7 @@
 
     @property
     def is_stopping(self) -> bool:
-        """Tell whether a planned stop was asked for."""
+        """Tell whether a planned stop was requested."""
         return self.stopped_at is not None
 
     def stop(self) -> None:
@@ -36,11 +36,11 @@
             scope.cancel()
 
     def is_closed(self) -> bool:
-        """Tell whether no new client is taken: the platform has noticed, and a later one could not be served whole."""
+        """Tell whether new clients are refused: the platform knows of the stop, and a late request may not complete."""
         return self.stopped_at is not None and read_clock() - self.stopped_at >= UNREADY_TIME
 
     def is_over(self, in_progress: int) -> bool:
-        """Tell whether the process may end: nothing is under way and no new client comes, or its time is up."""
+        """Tell whether the process may end: no request is in progress and no client is accepted, or its time is up."""
         if self.stopped_at is None:
             return False
         passed = read_clock() - self.stopped_at
