--- a/packages/node/src/vaneturn_node/platform/__init__.py
+++ b/packages/node/src/vaneturn_node/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Names, formats and calls of the users' platform; nothing here decides."""
+"""Wire names, formats and calls of the users' platform; decisions are made elsewhere."""
--- a/packages/node/src/vaneturn_node/platform/configuration.py
+++ b/packages/node/src/vaneturn_node/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as the platform's store holds it."""
+"""Decodes the operators' configuration from the format of the platform's store."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     pace: float = 1.0
 
 
-class _Delay(Struct, rename={"one": "from", "other": "target_version"}):  # the far zone, not a version
+class _Delay(Struct, rename={"one": "from", "other": "target_version"}):  # the second zone, not a version
     one: str
     other: str
     delay_ms: float
@@ -69,17 +69,17 @@
 
 class _Engine(Struct):
     slots: int = 1
-    kv_token_bytes: float = 0.0  # of a token on all layers
+    kv_token_bytes: float = 0.0  # of one token over all layers
     models: list[_Model] = []
     step_ms: float = 1.0
-    per_seq_ms: float = 0.0  # that each request in progress adds to a step
-    context_per_k: float = 0.0  # ms that each thousand tokens of its context add
+    per_seq_ms: float = 0.0  # added to a step by each request in progress
+    context_per_k: float = 0.0  # ms added to a step by each thousand tokens of a request's context
     delays: list[_Delay] = []
     usual: _Usual = _Usual()
     layers: int = 0
     layer_mb: float = 0.0
-    act_bytes: float = 0.0  # of a token, from one part of a path to the next
-    pipe_mbps: float = 0.0  # between two zones; 0: without limit
+    act_bytes: float = 0.0  # of one token, sent from one part of a chain to the next
+    pipe_mbps: float = 0.0  # between two zones; 0: unlimited
     kinds: list[_Kind] = []
 
 
@@ -110,7 +110,7 @@
 
 
 def decode_configuration(value: bytes) -> TrafficConfiguration | Fault:
-    """Decode a configuration; the fault names the place that was not understood."""
+    """Decode a configuration; a fault names the path of the invalid value."""
     try:
         document = msgspec.json.decode(value, type=_Document)
         return TrafficConfiguration(
@@ -178,7 +178,7 @@
 
 
 def _compute_step_growth(engine: _Engine) -> float:
-    """Compute the seconds that each token in progress adds to a step, its request's part included."""
+    """Compute the seconds that each token in progress adds to a step, its share of the cost per request included."""
     tokens = max(1, engine.usual.prompt + engine.usual.answer)
     return (engine.per_seq_ms / tokens + engine.context_per_k / 1000) * _MS
 
--- a/packages/node/src/vaneturn_node/platform/directives.py
+++ b/packages/node/src/vaneturn_node/platform/directives.py
@@ -1,4 +1,4 @@
-"""Headers by which a server limits, delays or ends the requests that a node sends to it."""
+"""Reads the response headers by which a server limits, delays or ends the requests that a node sends to it."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 RATE_LIMIT: Final = b"server-limit"
 LEAVING: Final = b"server-leaving"
 RETRY_AFTER: Final = b"retry-after"
-MAX_RATE: Final = 1e6  # requests a second; a larger one is taken for an error of the server
+MAX_RATE: Final = 1e6  # requests per second; a larger rate is treated as an error of the server
 TURNED_AWAY: Final = frozenset({429, 503})
 
 
 def read_directives(status: int, headers: Headers) -> ServerDirectives:
-    """Read what an answer asks of this node; fields that cannot be read are left out and reported."""
+    """Read the directives of a response; invalid ones are left out, or bounded, and reported as faults."""
     faults: list[Fault] = []
     rate = _read_decimal(headers, RATE_LIMIT, faults)
     if rate is not None and not 0 < rate <= MAX_RATE:
-        faults.append(Fault("Server-Limit", f"more than 0, at most {MAX_RATE:.0f} requests a second"))
+        faults.append(Fault("Server-Limit", f"more than 0, at most {MAX_RATE:.0f} requests per second"))
         rate = None
     rest = _read_decimal(headers, RETRY_AFTER, faults) if status in TURNED_AWAY else None
     if rest is not None and rest > MAX_REST:
--- a/packages/node/src/vaneturn_node/platform/headers.py
+++ b/packages/node/src/vaneturn_node/platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers of requests and answers on the users' platform."""
+"""Reads and builds the headers of requests and responses on the users' platform."""
 
 from __future__ import annotations
 
@@ -35,34 +35,34 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFacts:
-    """What a client says in the head of a request."""
+    """What the headers of a client's request say."""
 
     id: RequestId | None
     host: str
-    deadline: float | None  # seconds that the client waits
+    deadline: float | None  # seconds for which the client waits
     key: str | None
-    last_event: str | None  # id of the last event that the client has
+    last_event: str | None  # id of the last event that the client received
     prompt_tokens: int
     most_answer_tokens: int
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerFacts:
-    """What a server says in the head of an answer."""
+    """What the headers of a server's response say."""
 
     id: RequestId | None
     status: int
-    was_refused: bool  # the server did not and will not run the request
-    is_wrong_server: bool  # another server has the address, or a part of the chain does not hold its layers
+    was_refused: bool  # the server has not run the request and will not
+    is_wrong_server: bool  # the address belongs to another server, or a part of the chain lacks its layers
     is_sealed: bool
-    faulty: ServerAddress | None  # part of the chain at fault
-    load: tuple[int, int, int] | None  # requests running, waiting, slots
+    faulty: ServerAddress | None  # the part of the chain that failed
+    load: tuple[int, int, int] | None  # running requests, waiting requests, slots
     directives: ServerDirectives
 
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """What the router adds to a request for one server."""
+    """What the router adds to the headers of a request to one server."""
 
     server: ServerName
     deadline: float | None  # seconds left
@@ -73,7 +73,7 @@
 
 
 def read_request_facts(headers: Headers) -> RequestFacts:
-    """Read what a request says of itself; what cannot be read counts as absent."""
+    """Read the headers of a request; invalid values count as absent."""
     request = find_header(headers, REQUEST_ID)
     deadline = _read_number(find_header(headers, DEADLINE))
     key = find_header(headers, KEY)
@@ -91,7 +91,7 @@
 
 
 def read_answer_facts(status: int, headers: Headers) -> AnswerFacts:
-    """Read what an answer says of itself."""
+    """Read the headers of a response."""
     request = find_header(headers, REQUEST_ID)
     faulty = find_header(headers, FAULTY_SERVER)
     return AnswerFacts(
@@ -107,7 +107,7 @@
 
 
 def build_server_headers(headers: Headers, dispatch: Dispatch) -> list[tuple[bytes, bytes]]:
-    """Build the head for a server: what the client sent, less what concerns its connection, plus the dispatch."""
+    """Build the headers for a server: those of the client, less hop-by-hop and replaced ones, plus the dispatch."""
     dropped = _OWN_TO_SERVERS | list_connection_headers(headers)
     sent = [(name, value) for name, value in headers if name not in dropped]
     sent.append((EXPECTED_SERVER, dispatch.server.encode("latin-1")))
@@ -124,13 +124,13 @@
 
 
 def build_client_headers(headers: Headers) -> list[tuple[bytes, bytes]]:
-    """Build the head for the client: what the server sent, less what concerns its connection."""
+    """Build the headers for the client: those of the server without the hop-by-hop headers."""
     dropped = list_connection_headers(headers) | {b"content-length"}
     return [(name, value) for name, value in headers if name not in dropped]
 
 
 def format_chain(parts: Sequence[Part]) -> str:
-    """Format a chain as servers with their layers; the second number of a range is exclusive."""
+    """Format a chain as a list of servers with their layer ranges; the end of a range is exclusive."""
     return ",".join(f"{part.server.address}={part.first}-{part.end}" for part in parts)
 
 
--- a/packages/node/src/vaneturn_node/platform/servers.py
+++ b/packages/node/src/vaneturn_node/platform/servers.py
@@ -1,4 +1,4 @@
-"""The list of backend servers, their reports and the orders to them."""
+"""Entries of the list of backend servers, and the calls for their reports and orders."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 from vaneturn_node.platform.headers import EXPECTED_SERVER, WRONG_SERVER, format_chain
 
 SERVERS_PREFIX: Final = "servers/"
-REPORT_TIME: Final = 0.4  # seconds; a sound server answers in a few milliseconds
+REPORT_TIME: Final = 0.4  # seconds; a healthy server answers in a few milliseconds
 ORDER_TIME: Final = 0.6  # seconds
-MAX_ENTRY: Final = 65_536  # bytes of an entry; sound ones have some 250
-MAX_SLOTS: Final = 10_000  # servers of today have 6 to 192
-MAX_LAYERS: Final = 10_000  # models of today have 40 to 80
+MAX_ENTRY: Final = 65_536  # bytes; valid entries have about 250
+MAX_SLOTS: Final = 10_000  # servers have 6 to 192 at present
+MAX_LAYERS: Final = 10_000  # models have 40 to 80 at present
 MAX_PORT: Final = 65_535
-MAX_NAME: Final = 200  # characters, as the keys of the store
+MAX_NAME: Final = 200  # characters; the same limit as for keys of the store
 
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME)]
 Born = Annotated[int, Meta(ge=1, le=2**53)]  # Unix milliseconds
 
 
-class _Layers(Struct, rename={"first": "from", "end": "target_version"}):  # exclusive end, not a version
+class _Layers(Struct, rename={"first": "from", "end": "target_version"}):  # the exclusive end, not a version
     first: Annotated[int, Meta(ge=0, le=MAX_LAYERS)]
     end: Annotated[int, Meta(ge=0, le=MAX_LAYERS)]
 
@@ -48,7 +48,7 @@
     zone: Name
     state: str
     slots: Annotated[int, Meta(ge=1, le=MAX_SLOTS)] = 1
-    route_type: Name | None = None  # kind of its accelerator, not of a route
+    route_type: Name | None = None  # the kind of its accelerator, not of a route
     layers: list[_Layers] | _Layers | None = None
     version: str | int = ""  # of its software
     born: Born | UnsetType = UNSET
@@ -61,7 +61,7 @@
 
 class _Report(Struct):
     seq: int = 0
-    utilization: bool = False  # an order is under way
+    utilization: bool = False  # an order is in progress
     pace: float = 1.0
     layers: list[_Layers] | _Layers | None = None
     stalled: list[_Stalled] = []
@@ -70,27 +70,27 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerReport:
-    """What a server says of itself when asked."""
+    """A server's report on its state."""
 
-    orders: int  # begun since its start
+    orders: int  # number begun since the start of the server
     is_loading: bool
-    slowness: float  # over 1: slower than its kind
+    slowness: float  # relative to its kind; over 1: slower
     layers: tuple[LayerRange, ...]
-    stalled: dict[RequestId, ServerAddress]  # requests that wait for a part of their chain, and that part
+    stalled: dict[RequestId, ServerAddress]  # the part of its chain that each stalled request waits for
 
 
 class OrderOutcome(Enum):
-    """What became of an order."""
+    """The outcome of an order."""
 
     TAKEN = "taken"
-    CONFLICT = "conflict"  # does not fit the server's state, or another order came between
-    FENCED = "fenced"  # a newer holder has ordered
-    REFUSED = "refused"  # another server has the address, or the order is wrong
-    UNKNOWN = "unknown"  # no answer: may be taken, also later
+    CONFLICT = "conflict"  # does not fit the server's state, or another order was begun before it
+    FENCED = "fenced"  # a newer holder of the tenure has sent an order
+    REFUSED = "refused"  # the address belongs to another server, or the order is invalid
+    UNKNOWN = "unknown"  # no response; the order may be taken, even later
 
 
 def decode_server(name: ServerName, value: bytes) -> BackendServer | Fault:
-    """Decode an entry of the list; whatever is not as the platform's pages say makes a fault that names the field."""
+    """Decode an entry of the list; the fault for one that violates the platform's specification names the field."""
     if len(value) > MAX_ENTRY:
         return Fault("$", f"{len(value)} bytes are more than {MAX_ENTRY}")
     try:
@@ -107,7 +107,7 @@
     if entry.state not in states:
         return Fault("$.state", f"one of {states}")
     if not is_address(entry.addr):
-        return Fault("$.addr", "IP number and port")
+        return Fault("$.addr", "IP address and port")
     if any(layers.end < layers.first for layers in _list_ranges(entry.layers)):
         return Fault("$.layers", "an end that is not before the beginning")
     return None
@@ -131,12 +131,12 @@
 
 
 def _read_born(said: _Entry | _Report) -> int | None:
-    """Read when a server says that it was born; none where it does not say so, which null would not be."""
+    """Read the start time of a server; None if the field is absent (the decoder rejects a null)."""
     return None if said.born is UNSET else said.born
 
 
 def is_address(text: str) -> bool:
-    """Tell whether a text is an IP number and a port."""
+    """Tell whether a text is an IP address with a port."""
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host)
@@ -156,13 +156,13 @@
 
 
 class ServerCalls:
-    """Calls on backend servers beside requests."""
+    """Calls to backend servers other than clients' requests."""
 
     def __init__(self, caller: Caller) -> None:
         self._caller = caller
 
     async def read_report(self, server: BackendServer, limit: float = REPORT_TIME) -> ServerReport | Failed:
-        """Ask a server for its report."""
+        """Request the report of a server."""
         reply = await self._caller.call(server.address, "GET", "/api/report", limit, headers=_expect(server))
         if isinstance(reply, Failed):
             return reply
@@ -186,7 +186,7 @@
     async def place(self, server: BackendServer, layers: LayerRange, fence: int, orders: int) -> OrderOutcome:
         """Order a server to hold layers.
 
-        :param orders: begun so far; the order is void if another comes between.
+        :param orders: number of orders begun by the server so far; it rejects this one if another was begun since.
         """
         order = {
             "op": "place",
@@ -199,7 +199,7 @@
         return await self._order(server, order)
 
     async def replace_parts(self, server: BackendServer, request: RequestId, parts: list[Part]) -> OrderOutcome:
-        """Order the first server of a chain to take a request over another chain from now on."""
+        """Order the first server of a chain to send a request through another chain from now on."""
         return await self._order(server, {"op": "repath", "id": request, "path": format_chain(parts)})
 
     async def _order(self, server: BackendServer, order: dict[str, object]) -> OrderOutcome:
@@ -226,7 +226,7 @@
 
 
 def _decode(reply: Reply, type_: type[T]) -> T | Failed:
-    if reply.status != 200:  # noqa: PLR2004 # the one status of a report
+    if reply.status != 200:  # noqa: PLR2004 # a report has no other status
         return Failed(f"status {reply.status}", was_sent=True)
     try:
         return msgspec.json.decode(reply.body, type=type_)
--- a/packages/node/src/vaneturn_node/platform/store.py
+++ b/packages/node/src/vaneturn_node/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls on the platform's metadata store; each has its own timer and a typed outcome."""
+"""Calls to the platform's metadata store; each has its own timeout and a typed outcome."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from vaneturn_core.traffic.servers import ServerAddress
 from vaneturn_node.http1.caller import Arrival, Caller, Failed, Reply
 
-CALL_TIME: Final = 1.0  # seconds; the store answers in milliseconds when it is sound
-WATCH_MARGIN: Final = 0.5  # seconds beyond a watch's wait to the answer's head
-SILENCE: Final = 0.5  # seconds between bytes of an answer's body
-BODY_TIME: Final = 0.6  # seconds beyond its limit for a watch's body; the longest value takes 0.56 s over 20 Mbit/s
+CALL_TIME: Final = 1.0  # seconds; a healthy store answers in milliseconds
+WATCH_MARGIN: Final = 0.5  # seconds beyond the wait of a watch until the head of the response is due
+SILENCE: Final = 0.5  # seconds; the longest pause within the body of a response
+BODY_TIME: Final = 0.6  # seconds added for the body of a watch's response; the longest value takes 0.56 s at 20 Mbit/s
 _OK: Final = 200
 _NO_LEASE: Final = 404
 _NO_KEY: Final = 404
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreItem:
-    """A key as it was written; without a value it was removed."""
+    """A version of a key; a value of None means that the key was removed."""
 
     key: str
     value: bytes | None
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StorePage:
-    """Items, and the store's revision when it answered."""
+    """Items, and the revision of the store at the time of the response."""
 
     items: tuple[StoreItem, ...]
     revision: int
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """A lease and the seconds it holds from the arrival of the call."""
+    """A lease and the seconds for which it is valid from the arrival of the call."""
 
     id: int
     time: float
@@ -54,12 +54,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryGone:
-    """The store has forgotten the changes since the given revision."""
+    """The store no longer keeps the changes since the given revision."""
 
 
 @dataclass(frozen=True, slots=True)
 class WatchTooLong:
-    """The answer was still arriving when its time was up; the newest values alone may be far shorter."""
+    """The response was still arriving at its timeout; the newest values alone may be far shorter."""
 
     cause: str
 
@@ -71,22 +71,22 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseOver:
-    """The lease does not exist any more."""
+    """The lease no longer exists."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotDone:
-    """Nothing was done."""
+    """The store did nothing."""
 
     cause: str
 
 
 @dataclass(frozen=True, slots=True)
 class MaybeDone:
-    """No answer: it may have been done, or be done seconds later."""
+    """No response: the store may have done it already, or may do it seconds later."""
 
     cause: str
-    is_unfinished: bool = False  # the answer was arriving
+    is_unfinished: bool = False  # the response was still arriving
 
 
 class _Item(Struct):
@@ -120,7 +120,7 @@
         self._address = address
 
     async def read_range(self, prefix: str, after: str = "") -> StorePage | NotDone:
-        """Read a page of the items under a prefix, after a key."""
+        """Read a page of the items under a prefix, beginning after a key."""
         query: dict[str, str | int] = {"path_prefix": prefix}
         if after:
             query["since_rev"] = after  # a key here, not a revision
@@ -131,7 +131,7 @@
         return page if isinstance(page, NotDone) else _convert_page(page, page.entries)
 
     async def read_key(self, key: str) -> StoreItem | NotDone:
-        """Read one key; a key that is not there has no value."""
+        """Read one key; for an absent key the value is None."""
         reply = await self._read(f"/api/kv-key?{urlencode({'key': key})}")
         if not isinstance(reply, Reply):
             return NotDone(reply.cause)
@@ -143,10 +143,10 @@
     async def watch(
         self, prefix: str, revision: int, wait: float, arrival: Arrival | None = None
     ) -> StorePage | HistoryGone | WatchTooLong | NotDone:
-        """Wait for changes after a revision, at most some seconds; a long answer notes that it is arriving.
+        """Wait up to some seconds for changes after a revision; the arrival is updated while a long response comes in.
 
-        The answer holds every version since the revision, so that asking again for one that is too long to arrive in
-        time makes it longer still; the newest values are to be read then.
+        The response holds every version since the revision. If it is too long to arrive in time, do not repeat the
+        call, since the next response would be even longer; read the newest values instead.
         """
         query = urlencode({"path_prefix": prefix, "since_rev": revision, "wait_ms": int(wait * 1000)})
         reply = await self._call("GET", f"/api/kv-watch?{query}", wait + WATCH_MARGIN, arrival=arrival)
@@ -162,7 +162,7 @@
     async def write(
         self, key: str, value: bytes, expected: int | None, lease: int = 0
     ) -> int | StoreConflict | LeaseOver | NotDone | MaybeDone:
-        """Write a key, if it has the expected revision (0: absent); gives the revision of the write."""
+        """Write a key if it has the expected revision (0: absent), and return the revision of the write."""
         put = [{"key": key, "value": value, "lease": lease}]
         rows = [] if expected is None else [{"key": key, "revision": expected}]
         body = msgspec.json.encode({"expected_rev": rows, "put": put, "remove": []})
@@ -177,7 +177,7 @@
         return written if isinstance(written, NotDone) else written.revision
 
     async def grant_lease(self, time: float) -> Lease | NotDone | MaybeDone:
-        """Begin a lease of some seconds."""
+        """Request a lease of some seconds."""
         reply = await self._call("POST", "/api/kv-lease", body=msgspec.json.encode({"ttl_ms": int(time * 1000)}))
         if not isinstance(reply, Reply):
             return reply
@@ -195,11 +195,11 @@
         return granted if isinstance(granted, NotDone) else Lease(lease, granted.ttl_ms / 1000)
 
     async def end_lease(self, lease: int) -> None:
-        """End a lease, at a planned stop; an unanswered call leaves it to run out."""
+        """End a lease; if the call gets no response, the lease runs out by itself."""
         await self._call("DELETE", f"/api/kv-lease-end/{lease}")
 
     async def _read(self, target: str) -> Reply | NotDone | MaybeDone:
-        """Read values, for as long as they are arriving: there is nothing shorter to ask for in their place."""
+        """Read values without a total timeout while bytes arrive, since no shorter response could replace them."""
         return await self._call("GET", target, arrival=Arrival(math.inf, SILENCE))
 
     async def _call(
@@ -230,7 +230,7 @@
     try:
         return msgspec.json.decode(reply.body, type=type_)
     except msgspec.DecodeError as error:
-        return NotDone(f"answer not understood: {error}")
+        return NotDone(f"malformed response: {error}")
 
 
 __all__ = [
