--- a/tests/node/traffic/duties/test_candidacy.py
+++ b/tests/node/traffic/duties/test_candidacy.py
@@ -1,4 +1,4 @@
-"""Who takes the tenure when nobody holds it: one node after the other, not all at once."""
+"""When nobody holds the tenure, the nodes try to take it one after the other, not all at once."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 pytestmark = pytest.mark.anyio
 
-NEWS_TIME = 0.15  # seconds from a write to the other nodes
+NEWS_TIME = 0.15  # seconds until a write is known to the other nodes
 NAMES = [VmId(f"entry-{number}") for number in range(30)]
 
 
 class Store(PlatformStore):
-    """Holds one record; the nodes hear of it a while later."""
+    """A store with one record, which the nodes learn of with a delay."""
 
     def __init__(self) -> None:
         super().__init__(Caller(LinkPool()), ServerAddress("store"))
@@ -51,7 +51,7 @@
 
 
 async def run_candidates(listed: list[VmId], seconds: float) -> tuple[Store, int]:
-    """Let all nodes be candidates for some seconds; gives the store and the number of holders."""
+    """Run all nodes as candidates for some seconds; return the store and the number of holders."""
     store = Store()
     tenures = [
         Tenure(store, NodeId(name), name, lambda name=name: rank_candidate(name, listed))  # type: ignore[misc]
@@ -75,7 +75,7 @@
 
 
 async def test_few_nodes_ask_the_store_when_the_tenure_is_free() -> None:
-    """With all of 30 nodes at once it took 65 calls: a lease, a write in vain and its end from each."""
+    """If all 30 nodes try at once, each requests a lease, fails to write and ends the lease: 65 calls in total."""
     store, holders = await run_candidates(NAMES, CANDIDACY_DELAY + 4 * TURN)
     assert holders == 1
     assert store.calls <= 8
--- a/tests/node/traffic/process/test_metricstext.py
+++ b/tests/node/traffic/process/test_metricstext.py
@@ -1,4 +1,4 @@
-"""What operators read of the traffic, and that nothing of the library is imported before they do."""
+"""The metrics as text, and that a node imports the metrics library only when they are requested."""
 
 from __future__ import annotations
 
--- a/tests/node/traffic/test_directives.py
+++ b/tests/node/traffic/test_directives.py
@@ -1,4 +1,4 @@
-"""Directives of servers: sound ones are read, others are refused by field and leave what was believed."""
+"""Directives in servers' responses: valid ones are read; invalid ones are left out and reported by field."""
 
 from __future__ import annotations
 
--- a/tests/node/traffic/test_parsing.py
+++ b/tests/node/traffic/test_parsing.py
@@ -1,4 +1,4 @@
-"""Whatever bytes come from clients, servers, the store or other nodes: they are understood, or told to be not."""
+"""Any bytes from clients, servers, the store or other nodes are either decoded or reported as malformed."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
 
 
 class Fixed(Caller):
-    """Answers every call in the same way."""
+    """Gives the same response to every call."""
 
     def __init__(self, status: int, body: bytes) -> None:
         super().__init__(LinkPool())
@@ -163,7 +163,7 @@
 
 @pytest.mark.parametrize("value", ["###", "YQ", "a\u00e9"])
 def test_value_of_the_store_that_is_no_base64(value: str) -> None:
-    """It ended the task that follows the store, and the process with it."""
+    """Such a value must not raise: the error would end the task that follows the store, and with it the process."""
     body = json.dumps({"at": 3, "events": [{"key": "op/config", "revision": 2, "value": value}]}).encode()
 
     async def call() -> None:
--- a/tests/node/traffic/test_suspension.py
+++ b/tests/node/traffic/test_suspension.py
@@ -1,8 +1,8 @@
-"""A VM was suspended for 5 s: the steady clock stood still, the store, the clients and the other nodes went on.
+"""A node notices that its VM was suspended, though the monotonic clock stands still meanwhile.
 
-By the steady clock everything that the node knew was as fresh as before: it ran a request with a key that had been
-taken away meanwhile, on word of the store that was 5 s old, gave orders on a tenure that had lapsed, and kept a request
-on its way whose time was over.
+By the monotonic clock, all that the node knows seems as fresh as before the suspension. After one of 5 s, a node that
+relies on it runs a request with a key that was revoked meanwhile, on a view of the store that is 5 s old, sends orders
+under a tenure whose lease has expired, and keeps a request in progress past its deadline.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 
 pytestmark = pytest.mark.anyio
 
-SUSPENDED = 6.0  # seconds, over all bounds that the tests ask for
+SUSPENDED = 6.0  # seconds; longer than every bound that the tests check
 
 
 class Suspension:
-    """The clocks of a VM that can be suspended."""
+    """Advances the clock of the node, as after a suspension of its VM."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.seconds = 0.0
@@ -43,7 +43,7 @@
 
 
 class Here:
-    """A node in this process, so that its clocks can be changed, with its platform and a client."""
+    """A node within the test's process, so that its clock can be patched, with its platform and a client."""
 
     def __init__(self, traffic: Traffic, node: TrafficNode) -> None:
         self.traffic = traffic
@@ -54,7 +54,7 @@
 
 
 class _Door:
-    """What a request is built from, in place of a process."""
+    """Stands in for a node's process; requests only need its port."""
 
     def __init__(self, client_port: int) -> None:
         self.client_port = client_port
@@ -87,7 +87,7 @@
     async with open_here(tmp_path) as here:
         await here.traffic.add_chains()
         assert (await here.ask("/letter/1", "before")).status_code == 200
-        here.traffic.fleet.store.set_mode(Mode.SILENT)  # nothing is confirmed after the waking
+        here.traffic.fleet.store.set_mode(Mode.SILENT)  # the store confirms nothing after the suspension
         suspension.seconds = SUSPENDED
         answer = await here.ask("/letter/1", "after")
         assert answer.json()["error"] == "keys_too_old"
@@ -129,7 +129,7 @@
             tasks.start_soon(ask)
             await wait_for(lambda: bool(here.traffic.fleet.find_runs("waits")))
             suspension.seconds = SUSPENDED
-            await wait_for(lambda: bool(answers), 1.5)  # by the loop's own clock it would have 4 s
+            await wait_for(lambda: bool(answers), 1.5)  # by the clock of the event loop, 4 s would be left
         assert answers[0].status_code == 504
 
 
@@ -168,7 +168,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(watch_suspensions, suspensions.append)
         await anyio.sleep(0.05)
-        time.sleep(1.2)  # noqa: ASYNC251 # as a process that is not scheduled
+        time.sleep(1.2)  # noqa: ASYNC251 # like a process that is not scheduled
         await anyio.sleep(0.15)
         until = time.process_time() + 1.2
         while time.process_time() < until:
--- a/tests/system/platform/conftest.py
+++ b/tests/system/platform/conftest.py
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 async def traffic(tmp_path: Path, anyio_backend: str) -> AsyncIterator[Traffic]:
-    """One node; the servers are for the test to add."""
+    """One node without servers; the test adds them."""
     assert anyio_backend == "asyncio"
     async with open_traffic(tmp_path) as made:
         yield made
--- a/tests/system/platform/test_judge.py
+++ b/tests/system/platform/test_judge.py
@@ -1,4 +1,4 @@
-"""The judge of streams that did not come to their end: it blames only where node and servers were sound."""
+"""The rig's judge of cut streams: it excuses only those that trouble of the node, the store or servers explains."""
 
 from __future__ import annotations
 
--- a/tests/system/platform/test_operators_view.py
+++ b/tests/system/platform/test_operators_view.py
@@ -1,4 +1,4 @@
-"""Operators ask live nodes: the state with its age, and what became of a request."""
+"""Operators' commands against running nodes: the state with its age, and the steps of a request."""
 
 from __future__ import annotations
 
--- a/tests/system/platform/test_placing.py
+++ b/tests/system/platform/test_placing.py
@@ -1,4 +1,4 @@
-"""Orders to servers: one holder, fenced, on the count of orders begun."""
+"""Orders to servers: sent by one holder of the tenure, fenced, and conditional on the number of orders begun."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     servers = []
     for hall in ("east", "west"):
         server = await traffic.fleet.add(f"127.0.0.1:{find_port()}", "llm", hall, "big")
-        server.late_orders = 3.0  # the order is repeated before
+        server.late_orders = 3.0  # longer than until the order is repeated
         servers.append(server)
     await anyio.sleep(2.2)
     for server in servers:
@@ -51,17 +51,17 @@
 async def test_no_order_without_the_store(traffic: Traffic) -> None:
     await traffic.add_chains(halls=("east",))
     server = await traffic.fleet.add(f"127.0.0.1:{find_port()}", "llm", "west", "big")
-    server.is_dark = True  # known, and not ordered yet
+    server.is_dark = True  # listed, and without an order yet
     await anyio.sleep(0.5)
     traffic.fleet.store.set_mode(Mode.SILENT)
-    await anyio.sleep(4.5)  # the lease is over
+    await anyio.sleep(4.5)  # longer than the lease
     server.is_dark = False
     await anyio.sleep(2.0)
     assert server.orders == 0
 
 
 async def test_gap_is_filled_while_servers_keep_appearing(traffic: Traffic) -> None:
-    """Orders waited until no server had appeared for a second; in a release one came each second."""
+    """Orders that fill a gap must not wait until no new server appears: in a release, one appears each second."""
     servers = await traffic.add_chains()
     leaving = next(server for server in servers if server.hall == "east" and server.held == (0, 4))
     added: list[Server] = []
--- a/tests/system/platform/test_rig.py
+++ b/tests/system/platform/test_rig.py
@@ -1,4 +1,4 @@
-"""The rig itself: what a test leaves behind does not fail it."""
+"""The rig itself: leftovers of a test do not fail it, and the store's stand-in skips no change."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 async def test_connection_that_waits_at_the_end_is_taken_before_the_stand_ins_stop(tmp_path: Path) -> None:
-    """asyncio raises InvalidStateError when a connection comes in the turn of the loop that cancels its listener."""
+    """asyncio raises InvalidStateError when a connection arrives in the loop iteration that cancels its listener."""
     async with open_traffic(tmp_path, nodes=1) as traffic:
         host, _, port = traffic.nodes[0].store_address.rpartition(":")
         traffic.nodes[0].process.end()
@@ -27,9 +27,10 @@
 
 
 async def test_watch_that_ends_beside_a_change_does_not_skip_it() -> None:
-    """Three nodes read nothing of six servers' layers: their watches ended in the turn of the writes.
+    """A watch that times out in the same loop iteration as a write must not answer with the revision after the write.
 
-    The empty answers named the revision after the writes, and the next watches went on from there.
+    The response is empty then, and the next watch continues from its revision, so the change would be skipped. Three
+    nodes missed the layers of six servers in this way.
     """
     store = Store()
     store.put("servers/i-1", b"empty")
@@ -44,12 +45,12 @@
         tasks.start_soon(watch)
         await anyio.sleep(0.005)
         asyncio.get_running_loop().call_later(0.02, store.put, "servers/i-1", b"loaded")
-        block(0.03)  # the end of the watch and the write are due together then
+        block(0.03)  # after it, the end of the watch and the write are due at once
         await anyio.sleep(0.01)
     (_, page) = answers[0]
     assert page["events"] or page["at"] == before
 
 
 def block(seconds: float) -> None:
-    """Hold the turn of the loop: what is due meanwhile comes together after it."""
+    """Block the event loop, so that all callbacks due meanwhile run in one iteration after it."""
     time.sleep(seconds)
--- a/tests/system/platform/test_stopping.py
+++ b/tests/system/platform/test_stopping.py
@@ -1,4 +1,4 @@
-"""A planned stop: not ready at once, everything under way answered, connections closed between requests."""
+"""A planned stop: not ready at once, all requests in progress completed, connections closed between requests."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 async def test_stream_under_way_is_answered_in_full(traffic: Traffic) -> None:
-    """The end of the listener cancelled the requests of its connections."""
+    """Closing the listener must not cancel the requests of connections that it accepted."""
     await traffic.add_chains()
-    traffic.fleet.answer_tokens = 350  # longer than clients are still taken
+    traffic.fleet.answer_tokens = 350  # takes longer than new clients are accepted
     answers: list[httpx.Response] = []
     node = traffic.nodes[0]
     async with anyio.create_task_group() as tasks:
@@ -34,7 +34,7 @@
 
 
 async def test_kept_connection_ends_after_the_answer_under_way(traffic: Traffic) -> None:
-    """A connection kept over SIGTERM took requests until the process ended."""
+    """A connection that stays open after SIGTERM would take requests until the process ends."""
     desk = await traffic.add_desk()
     desk.work_time = 0.5
     async with anyio.create_task_group() as tasks:
@@ -73,15 +73,15 @@
 
 @pytest.mark.parametrize("path", ["/letter/1", "/once/1"])
 async def test_request_that_has_arrived_with_the_signal_is_served(traffic: Traffic, path: str) -> None:
-    """A planned stop closed connections on which a request had arrived and was not read yet.
-
-    The randomised run told "a planned stop cut a stream" in 2 of 74 seeds, beside other work: on a busy machine a
-    request may lie unread for the 0.2 s between it and the signal. The signal ended the wait for a request on every
-    connection without one, and closed it at once, bytes there or not: the client saw it end without an answer, and the
-    node's log has no line of the request. The node is held up here until both are there; before the mend 2 of 3 runs
-    failed. A connection gets a last look now. Other cuts of the same name were allowed: of a run that failed beside ten
-    busy processes the log tells "broken off, 6 events", "4971ms time is up", which is the end of its deadline after
-    silences of the servers of over a second.
+    """A planned stop must not close a connection on which a request has arrived that is not read yet.
+
+    On a busy machine a request may stay unread for the 0.2 s between its arrival and the signal (2 of 74 randomised
+    runs). If the signal closes each connection that waits for a request, whether or not bytes have arrived, the client
+    sees it end without a response, and the node logs nothing of the request. So each connection is read once more. The
+    test freezes the node until both request and signal have arrived; 2 of 3 runs fail without that read.
+
+    Not this fault: a stream that is cut at the end of its deadline ("time is up") after servers stopped responding for
+    over a second, as on a machine with ten busy processes. That is allowed.
     """
     await traffic.add_chains()
     await traffic.add_desk()
@@ -105,8 +105,8 @@
 async def test_kept_connection_takes_no_request_long_after_the_signal(traffic: Traffic) -> None:
     """A request that is taken after the listener has closed may not end before the process does.
 
-    A connection whose answer had begun before the signal, and could not tell that it ends, was looked at once more
-    that answer: a hunted day told LOST of a request sent on it 3.4 s after the signal, and cut 7.2 s after it.
+    A response that began before the signal cannot announce that its connection closes. If the connection is read once
+    more after such a response, a request sent on it 3.4 s after the signal is taken and cut 7.2 s after the signal.
     """
     await traffic.add_chains()
     traffic.fleet.answer_tokens = 400
