--- a/packages/node/src/vaneturn_node/platform/directives.py
+++ b/packages/node/src/vaneturn_node/platform/directives.py
@@ -11,7 +11,7 @@
 RATE_LIMIT: Final = b"server-limit"
 LEAVING: Final = b"server-leaving"
 RETRY_AFTER: Final = b"retry-after"
-MAX_RATE: Final = 1e6  # requests per second; a larger rate is treated as an error of the server
+MAX_RATE: Final = 1e6  # requests; a larger rate is treated as an error of the server
 TURNED_AWAY: Final = frozenset({429, 503})
 
 
--- a/packages/node/src/vaneturn_node/platform/servers.py
+++ b/packages/node/src/vaneturn_node/platform/servers.py
@@ -25,13 +25,13 @@
 from vaneturn_node.platform.headers import EXPECTED_SERVER, WRONG_SERVER, format_chain
 
 SERVERS_PREFIX: Final = "servers/"
-REPORT_TIME: Final = 0.4  # seconds; a healthy server answers in a few milliseconds
-ORDER_TIME: Final = 0.6  # seconds
-MAX_ENTRY: Final = 65_536  # bytes; valid entries have about 250
+REPORT_TIME: Final = 0.4  # a healthy server answers in a few milliseconds
+ORDER_TIME: Final = 0.6
+MAX_ENTRY: Final = 65_536  # valid entries have about 250
 MAX_SLOTS: Final = 10_000  # servers have 6 to 192 at present
 MAX_LAYERS: Final = 10_000  # models have 40 to 80 at present
 MAX_PORT: Final = 65_535
-MAX_NAME: Final = 200  # characters; the same limit as for keys of the store
+MAX_NAME: Final = 200  # the same limit as for keys of the store
 
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME)]
 Born = Annotated[int, Meta(ge=1, le=2**53)]  # Unix milliseconds
--- a/packages/node/src/vaneturn_node/platform/store.py
+++ b/packages/node/src/vaneturn_node/platform/store.py
@@ -14,10 +14,10 @@
 from vaneturn_core.traffic.servers import ServerAddress
 from vaneturn_node.http1.caller import Arrival, Caller, Failed, Reply
 
-CALL_TIME: Final = 1.0  # seconds; a healthy store answers in milliseconds
-WATCH_MARGIN: Final = 0.5  # seconds beyond the wait of a watch until the head of the response is due
-SILENCE: Final = 0.5  # seconds; the longest pause within the body of a response
-BODY_TIME: Final = 0.6  # seconds added for the body of a watch's response; the longest value takes 0.56 s at 20 Mbit/s
+CALL_TIME: Final = 1.0  # a healthy store answers in milliseconds
+WATCH_MARGIN: Final = 0.5  # beyond the wait of a watch until the head of the response is due
+SILENCE: Final = 0.5  # the longest pause within the body of a response
+BODY_TIME: Final = 0.6  # added for the body of a watch's response; the longest value takes 0.56 s at 20 Mbit/s
 _OK: Final = 200
 _NO_LEASE: Final = 404
 _NO_KEY: Final = 404
--- a/packages/node/src/vaneturn_node/traffic/duties/placing.py
+++ b/packages/node/src/vaneturn_node/traffic/duties/placing.py
@@ -18,13 +18,13 @@
 from vaneturn_node.platform.servers import OrderOutcome, ServerCalls
 from vaneturn_node.traffic.duties.tenure import Tenure
 
-ROUND: Final = 0.3  # seconds between planning rounds
-# Seconds for which the set of servers must be unchanged before the first plan, and before a server becomes a spare.
+ROUND: Final = 0.3
+# How long the set of servers must be unchanged before the first plan, and before a server becomes a spare.
 # Servers appear one after another, and in a release each new one appears a second before the old one leaves.
 SETTLE_TIME: Final = 1.3
-LOAD_WAIT: Final = 20.0  # seconds after which an order without visible effect is repeated
-MOVE_INTERVAL: Final = 4.0  # seconds between moves, so that the effect of one shows before the next
-RETRY_AFTER_SILENCE: Final = 0.7  # seconds
+LOAD_WAIT: Final = 20.0  # after it an order without visible effect is repeated
+MOVE_INTERVAL: Final = 4.0  # so that the effect of one move shows before the next
+RETRY_AFTER_SILENCE: Final = 0.7  # after an order or a call for a report that failed
 
 logger = logging.getLogger(__name__)
 
--- a/packages/node/src/vaneturn_node/traffic/duties/registration.py
+++ b/packages/node/src/vaneturn_node/traffic/duties/registration.py
@@ -11,9 +11,9 @@
 from vaneturn_node.platform.store import Lease, LeaseOver, PlatformStore
 from vaneturn_node.traffic.duties.records import NODES_PREFIX, NodeRecord, encode_node
 
-TERM: Final = 20.0  # seconds; long, since the record of a lost node only makes the shares of the others smaller
-BEAT: Final = 6.0  # seconds between renewals of the lease
-RETRY: Final = 1.0  # seconds after a failure
+TERM: Final = 20.0  # long, since the record of a lost node only makes the shares of the others smaller
+BEAT: Final = 6.0
+RETRY: Final = 1.0  # after a failure
 
 logger = logging.getLogger(__name__)
 
--- a/packages/node/src/vaneturn_node/traffic/duties/tenure.py
+++ b/packages/node/src/vaneturn_node/traffic/duties/tenure.py
@@ -18,13 +18,13 @@
 from vaneturn_node.platform.store import Lease, LeaseOver, MaybeDone, NotDone, PlatformStore, StoreConflict
 from vaneturn_node.traffic.duties.records import TENURE_KEY, TenureHolder, decode_holder, encode_holder
 
-# Seconds of the lease. After the loss of a holder nobody sends orders for this time, so lost layers stay missing.
+# After the loss of a holder nobody sends orders for this time, so lost layers stay missing.
 TERM: Final = 4.0
-BEAT: Final = 1.2  # seconds between renewals; two in a row may fail
-MARGIN: Final = 0.8  # seconds before the end of the lease in which no order is sent, so that none arrives after it
-CANDIDACY_DELAY: Final = 0.4  # seconds between checks whether the tenure is free; upper bound of a random delay
-# Seconds that a candidate waits for each one ranked before it. The time lets that one take the tenure and the news of
-# it arrive, which takes 0.2 s. Without the wait, 19 of 23 nodes tried at once after the loss of a holder, with three
+BEAT: Final = 1.2  # two renewals in a row may fail
+MARGIN: Final = 0.8  # no order is sent in this time before the end of the lease, so that none arrives after it
+CANDIDACY_DELAY: Final = 0.4  # between checks whether the tenure is free; upper bound of a random delay
+# A candidate waits this long for each one ranked before it, so that the other can take the tenure and the news of it
+# can arrive, which takes 0.2 s. Without the wait, 19 of 23 nodes tried at once after the loss of a holder, with three
 # calls to the store each.
 TURN: Final = 0.3
 
--- a/packages/node/src/vaneturn_node/traffic/process/daemon.py
+++ b/packages/node/src/vaneturn_node/traffic/process/daemon.py
@@ -49,7 +49,7 @@
 from vaneturn_node.traffic.sharing.losssharing import LossSharing
 
 READINESS_PATH: Final = "/api/readyz"
-STOP_LOOK: Final = 0.05  # seconds between checks whether the process may end
+STOP_LOOK: Final = 0.05  # between checks whether the process may end
 BACKLOG: Final = 512  # connections waiting to be accepted
 
 logger = logging.getLogger(__name__)
--- a/packages/node/src/vaneturn_node/traffic/process/stopping.py
+++ b/packages/node/src/vaneturn_node/traffic/process/stopping.py
@@ -8,8 +8,8 @@
 
 from vaneturn_node.clock import read_clock
 
-UNREADY_TIME: Final = 2.6  # seconds until the platform notices that a node is not ready and sends no new clients
-CUT_MARGIN: Final = 0.8  # seconds before the platform kills the process; requests still in progress are aborted then
+UNREADY_TIME: Final = 2.6  # until the platform notices that a node is not ready and sends no new clients
+CUT_MARGIN: Final = 0.8  # before the platform kills the process; requests still in progress are aborted then
 
 
 class Lifecycle:
