--- a/packages/node/src/vaneturn_node/traffic/duties/registration.py
+++ b/packages/node/src/vaneturn_node/traffic/duties/registration.py
@@ -11,9 +11,9 @@
 from vaneturn_node.platform.store import Lease, LeaseOver, PlatformStore
 from vaneturn_node.traffic.duties.records import NODES_PREFIX, NodeRecord, encode_node
 
-TERM: Final = 20.0  # long, since the record of a lost node only makes the shares of the others smaller
-BEAT: Final = 6.0
-RETRY: Final = 1.0  # after a failure
+LEASE_TTL_S: Final = 20.0  # long, since the record of a lost node only makes the shares of the others smaller
+RENEWAL_INTERVAL_S: Final = 6.0
+RETRY_DELAY_S: Final = 1.0  # after a failure
 
 logger = logging.getLogger(__name__)
 
@@ -31,11 +31,11 @@
     async def run(self) -> None:
         """Keep the node registered until cancelled."""
         while not self._is_stopping:
-            is_kept = await (self._register() if self._lease is None else self._keep(self._lease))
-            await anyio.sleep(BEAT if is_kept else RETRY)
+            has_succeeded = await (self._register() if self._lease is None else self._renew(self._lease))
+            await anyio.sleep(RENEWAL_INTERVAL_S if has_succeeded else RETRY_DELAY_S)
 
     async def _register(self) -> bool:
-        lease = await self._store.grant_lease(TERM)
+        lease = await self._store.grant_lease(LEASE_TTL_S)
         if not isinstance(lease, Lease):
             return False
         written = await self._store.write(NODES_PREFIX + self._vm, encode_node(self._record), None, lease.id)
@@ -44,13 +44,13 @@
         self._lease = lease.id
         return True
 
-    async def _keep(self, lease: int) -> bool:
-        kept = await self._store.keep_lease(lease)
-        if isinstance(kept, LeaseOver):
+    async def _renew(self, lease: int) -> bool:
+        renewed = await self._store.keep_lease(lease)
+        if isinstance(renewed, LeaseOver):
             logger.info("registration lapsed; registering again", extra={"lease": lease})
             self._lease = None
             return False
-        return isinstance(kept, Lease)
+        return isinstance(renewed, Lease)
 
     async def give_up(self) -> None:
         """Remove the record at a planned stop."""
--- a/packages/node/src/vaneturn_node/traffic/duties/tenure.py
+++ b/packages/node/src/vaneturn_node/traffic/duties/tenure.py
@@ -19,14 +19,14 @@
 from vaneturn_node.traffic.duties.records import TENURE_KEY, TenureHolder, decode_holder, encode_holder
 
 # After the loss of a holder nobody sends orders for this time, so lost layers stay missing.
-TERM: Final = 4.0
-BEAT: Final = 1.2  # two renewals in a row may fail
-MARGIN: Final = 0.8  # no order is sent in this time before the end of the lease, so that none arrives after it
-CANDIDACY_DELAY: Final = 0.4  # between checks whether the tenure is free; upper bound of a random delay
+LEASE_TTL_S: Final = 4.0
+RENEWAL_INTERVAL_S: Final = 1.2  # two renewals in a row may fail
+ORDER_MARGIN_S: Final = 0.8  # no order is sent in this time before the end of the lease, so that none arrives after it
+MAX_CANDIDACY_DELAY_S: Final = 0.4  # between checks whether the tenure is free; upper bound of a random delay
 # A candidate waits this long for each one ranked before it, so that the other can take the tenure and the news of it
 # can arrive, which takes 0.2 s. Without the wait, 19 of 23 nodes tried at once after the loss of a holder, with three
 # calls to the store each.
-TURN: Final = 0.3
+RANK_DELAY_S: Final = 0.3
 
 logger = logging.getLogger(__name__)
 
@@ -43,12 +43,12 @@
         """
         self._store = store
         self._rank = rank
-        self._own = TenureHolder(node, vm)
+        self._own_record = TenureHolder(node, vm)
         self._lease: int | None = None
-        self._sure_until = float("-inf")
+        self._valid_until = float("-inf")
         self._record_revision = 0
         self._holder: TenureHolder | None = None
-        self._is_known = False  # the record, or its absence, has been read
+        self._is_record_known = False  # the record, or its absence, has been read
         self._is_stopping = False
 
     @property
@@ -58,68 +58,68 @@
 
     def is_sure(self) -> bool:
         """Tell whether this node holds the tenure for long enough that an order sent now arrives within it."""
-        return self._is_holder() and read_clock() < self._sure_until - MARGIN
+        return self._is_holder() and read_clock() < self._valid_until - ORDER_MARGIN_S
 
     def note_holder(self, value: bytes | None, revision: int) -> None:
         """Take over the record from the store; a value of None means that nobody holds the tenure."""
-        self._is_known = True
+        self._is_record_known = True
         self._holder = decode_holder(value) if value is not None else None
         self._record_revision = revision if self._holder is not None else 0
 
     def note_fenced(self) -> None:
         """End this tenure, since a server has seen a newer fence."""
         logger.warning("server has seen a newer fence; giving up the tenure", extra={"fence": self.fence})
-        self._sure_until = float("-inf")
+        self._valid_until = float("-inf")
         self._lease = None
 
     def _is_holder(self) -> bool:
-        return self._holder is not None and self._holder.node == self._own.node
+        return self._holder is not None and self._holder.node == self._own_record.node
 
     async def run(self) -> None:
         """Keep the tenure, or try to take it when nobody holds it, until cancelled."""
         while not self._is_stopping:
             if self._lease is not None and self._is_holder():
-                await self._keep(self._lease)
-                await anyio.sleep(BEAT)
+                await self._renew(self._lease)
+                await anyio.sleep(RENEWAL_INTERVAL_S)
                 continue
-            await anyio.sleep(random.uniform(0, CANDIDACY_DELAY))
+            await anyio.sleep(random.uniform(0, MAX_CANDIDACY_DELAY_S))
             rank = self._rank()
             if rank is None or not self._is_free():
                 continue
-            await anyio.sleep(rank * TURN)
+            await anyio.sleep(rank * RANK_DELAY_S)
             if self._is_free():
                 await self._take()
 
     def _is_free(self) -> bool:
         """Tell whether, as far as this node knows, nobody holds the tenure, and this node is not stopping."""
-        return self._is_known and self._holder is None and not self._is_stopping
+        return self._is_record_known and self._holder is None and not self._is_stopping
 
-    async def _keep(self, lease: int) -> None:
+    async def _renew(self, lease: int) -> None:
         started = read_clock()
-        kept = await self._store.keep_lease(lease)
-        if isinstance(kept, Lease):
-            self._sure_until = started + kept.time
+        renewed = await self._store.keep_lease(lease)
+        if isinstance(renewed, Lease):
+            self._valid_until = started + renewed.time
             return
-        if isinstance(kept, LeaseOver):
+        if isinstance(renewed, LeaseOver):
             logger.info("tenure lost", extra={"fence": self.fence})
-            self._sure_until = float("-inf")
+            self._valid_until = float("-inf")
             self._lease = None
             self._holder = None if self._is_holder() else self._holder
 
     async def _take(self) -> None:
         started = read_clock()
-        lease = await self._store.grant_lease(TERM)
+        lease = await self._store.grant_lease(LEASE_TTL_S)
         if not isinstance(lease, Lease):
             return
-        written = await self._store.write(TENURE_KEY, encode_holder(self._own), 0, lease.id)
+        written = await self._store.write(TENURE_KEY, encode_holder(self._own_record), 0, lease.id)
         if isinstance(written, StoreConflict | LeaseOver | NotDone):
             await self._store.end_lease(lease.id)
             return
         self._lease = lease.id
-        self._sure_until = started + lease.time
+        self._valid_until = started + lease.time
         if isinstance(written, MaybeDone):
             return  # the watch of the store will show whether the record was written
-        self._holder = self._own
+        self._holder = self._own_record
         self._record_revision = written
         logger.info("tenure taken", extra={"fence": written})
 
@@ -127,7 +127,7 @@
         """Give up the tenure at a planned stop, so that the next node need not wait for the lease to run out."""
         self._is_stopping = True
         lease, self._lease = self._lease, None
-        self._sure_until = float("-inf")
+        self._valid_until = float("-inf")
         if lease is not None:
             await self._store.end_lease(lease)
 
--- a/tests/node/traffic/duties/test_candidacy.py
+++ b/tests/node/traffic/duties/test_candidacy.py
@@ -11,11 +11,11 @@
 from vaneturn_node.http1.caller import Caller
 from vaneturn_node.http1.pool import LinkPool
 from vaneturn_node.platform.store import Lease, PlatformStore, StoreConflict
-from vaneturn_node.traffic.duties.tenure import CANDIDACY_DELAY, TURN, Tenure
+from vaneturn_node.traffic.duties.tenure import MAX_CANDIDACY_DELAY_S, RANK_DELAY_S, Tenure
 
 pytestmark = pytest.mark.anyio
 
-NEWS_TIME = 0.15  # seconds until a write is known to the other nodes
+NEWS_DELAY_S = 0.15  # seconds until a write is known to the other nodes
 NAMES = [VmId(f"entry-{number}") for number in range(30)]
 
 
@@ -60,15 +60,15 @@
     for tenure in tenures:
         tenure.note_holder(None, 0)
 
-    async def tell() -> None:
+    async def report_record() -> None:
         await store.is_written.wait()
-        await anyio.sleep(NEWS_TIME)
+        await anyio.sleep(NEWS_DELAY_S)
         for tenure in tenures:
             tenure.note_holder(store.record, 1)
 
     with anyio.move_on_after(seconds):
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(tell)
+            tasks.start_soon(report_record)
             for tenure in tenures:
                 tasks.start_soon(tenure.run)
     return store, sum(tenure.is_sure() for tenure in tenures)
@@ -76,12 +76,12 @@
 
 async def test_few_nodes_ask_the_store_when_the_tenure_is_free() -> None:
     """If all 30 nodes try at once, each requests a lease, fails to write and ends the lease: 65 calls in total."""
-    store, holders = await run_candidates(NAMES, CANDIDACY_DELAY + 4 * TURN)
+    store, holders = await run_candidates(NAMES, MAX_CANDIDACY_DELAY_S + 4 * RANK_DELAY_S)
     assert holders == 1
     assert store.calls <= 8
 
 
 async def test_node_that_is_not_listed_takes_nothing() -> None:
-    store, holders = await run_candidates([], CANDIDACY_DELAY + TURN)
+    store, holders = await run_candidates([], MAX_CANDIDACY_DELAY_S + RANK_DELAY_S)
     assert holders == 0
     assert store.calls == 0
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -198,7 +198,7 @@
         (
             Edit(
                 f"{TRAFFIC}/duties/tenure.py",
-                "return self._is_holder() and read_clock() < self._sure_until - MARGIN",
+                "return self._is_holder() and read_clock() < self._valid_until - ORDER_MARGIN_S",
                 "return self._is_holder()",
             ),
         ),
@@ -290,7 +290,7 @@
     Proof(
         "candidates for the tenure come in turn",
         "tests/node/traffic/duties/test_candidacy.py::test_few_nodes_ask_the_store_when_the_tenure_is_free",
-        (Edit(f"{TRAFFIC}/duties/tenure.py", "await anyio.sleep(rank * TURN)", "await anyio.sleep(0)"),),
+        (Edit(f"{TRAFFIC}/duties/tenure.py", "await anyio.sleep(rank * RANK_DELAY_S)", "await anyio.sleep(0)"),),
     ),
     Proof(
         "a forgotten history is told as differences",
