--- a/packages/node/src/vaneturn_node/traffic/process/daemon.py
+++ b/packages/node/src/vaneturn_node/traffic/process/daemon.py
@@ -33,7 +33,7 @@
 from vaneturn_node.traffic.duties.tenure import Tenure
 from vaneturn_node.traffic.following.follower import StoreFollower
 from vaneturn_node.traffic.following.viewkeeping import ViewKeeper
-from vaneturn_node.traffic.process.inspection import Inspection
+from vaneturn_node.traffic.process.inspection import OperatorHandler
 from vaneturn_node.traffic.process.stopping import Lifecycle
 from vaneturn_node.traffic.servers.exchange import TrafficParts
 from vaneturn_node.traffic.servers.reports import ReportBoard
@@ -49,7 +49,7 @@
 from vaneturn_node.traffic.sharing.losssharing import LossSharing
 
 READINESS_PATH: Final = "/api/readyz"
-STOP_LOOK: Final = 0.05  # between checks whether the process may end
+STOP_POLL_INTERVAL_S: Final = 0.05  # between checks whether the process may end
 BACKLOG: Final = 512  # connections waiting to be accepted
 
 logger = logging.getLogger(__name__)
@@ -60,7 +60,7 @@
 
     def __init__(self, settings: TrafficSettings, path: Path) -> None:
         self._settings = settings
-        self._path = path
+        self._settings_path = path
         self.id = NodeId(uuid.uuid4().hex[:16])
         bounds = settings.bounds
         self._pool = LinkPool()
@@ -82,47 +82,49 @@
         self._answerer = Answerer(parts, metrics, ended)
         self._placer = Placer(self._tenure, self._view, calls)
         self._lifecycle = Lifecycle(bounds.stop_s)
-        log = ChangeLog()
+        change_log = ChangeLog()
         times = RelayTimes.derive(min(bounds.leaving_ms, bounds.change_ms) / 1000)
-        board = parts.board
-        losses = self._losses = LossSharing(settings.vm, parts, caller, log)
+        load_board = parts.board
+        losses = self._losses = LossSharing(settings.vm, parts, caller, change_log)
         crashes = self._crashes = CrashSharing(settings.vm, parts.crashes, self._view, caller)
-        self._changes = ChangeServer(
-            log=log,
+        self._change_server = ChangeServer(
+            log=change_log,
             view=self._view,
             times=times,
             beliefs=self._beliefs,
-            board=board,
+            board=load_board,
             losses=losses,
             crashes=crashes,
             permits=parts.permits,
         )
-        peers = ChangeClient(
+        change_client = ChangeClient(
             caller=caller,
             times=times,
             vm=settings.vm,
             view=self._view,
             beliefs=self._beliefs,
-            board=board,
+            board=load_board,
             losses=losses,
             crashes=crashes,
             permits=parts.permits,
         )
-        self._sharing = LoadSharing(vm=settings.vm, view=self._view, beliefs=self._beliefs, board=board, peers=peers)
+        self._sharing = LoadSharing(
+            vm=settings.vm, view=self._view, beliefs=self._beliefs, board=load_board, peers=change_client
+        )
         self._follower = StoreFollower(
             vm=settings.vm,
             store=self._store,
             view=self._view,
             keeper=ViewKeeper(self._tenure, parts),
-            log=log,
-            peers=peers,
-            server=self._changes,
-            reader=LongValueReader(vm=settings.vm, store=self._store, view=self._view, log=log, caller=caller),
+            log=change_log,
+            peers=change_client,
+            server=self._change_server,
+            reader=LongValueReader(vm=settings.vm, store=self._store, view=self._view, log=change_log, caller=caller),
             times=times,
             first_reading=parts.first_reading,
         )
         self._client_listener: Listener[SocketStream] | None = None
-        self._inspection = Inspection(
+        self._operator_handler = OperatorHandler(
             vm=settings.vm,
             node=self.id,
             parts=parts,
@@ -146,49 +148,49 @@
                 tasks.start_soon(watch_suspensions, self._answerer.note_suspended)
                 await self._listen(tasks)
                 logger.info("serving", extra={"address": self._settings.client_address, "node": self.id})
-                tasks.start_soon(self._await_end, tasks.cancel_scope)
-                async for number in signals:
-                    if number == signal.SIGHUP:
+                tasks.start_soon(self._await_stop, tasks.cancel_scope)
+                async for signal_number in signals:
+                    if signal_number == signal.SIGHUP:
                         self._reload()
                     elif not self._lifecycle.is_stopping:
                         logger.info("stopping", extra={"in_progress": self._answerer.in_progress})
                         self._lifecycle.stop()
-                        tasks.start_soon(self._give_up_duties)
+                        tasks.start_soon(self._release_duties)
         logger.info("stopped")
 
     async def _listen(self, tasks: anyio.abc.TaskGroup) -> None:
-        served: list[tuple[str, Callable[[SocketStream], Awaitable[None]]]] = [
+        listeners: list[tuple[str, Callable[[SocketStream], Awaitable[None]]]] = [
             (self._settings.client_address, self._serve_client),
             (self._settings.readiness_address, self._serve_readiness),
             (self._settings.metrics_address, self._serve_metrics),
             (self._settings.peer_address, self._serve_peer),
         ]
-        for address, serve in served:
+        for address, serve in listeners:
             host, _, port = address.rpartition(":")
             listener = await anyio.create_tcp_listener(local_host=host, local_port=int(port), backlog=BACKLOG)
             tasks.start_soon(_accept, listener, serve, tasks)
             if address == self._settings.client_address:
                 self._client_listener = listener
 
-    async def _await_end(self, scope: anyio.CancelScope) -> None:
+    async def _await_stop(self, scope: anyio.CancelScope) -> None:
         while True:
-            await anyio.sleep(STOP_LOOK)
-            if self._client_listener is not None and self._lifecycle.is_closed():
+            await anyio.sleep(STOP_POLL_INTERVAL_S)
+            if self._client_listener is not None and self._lifecycle.is_closed_to_clients():
                 logger.info("no more clients", extra={"in_progress": self._answerer.in_progress})
                 await self._client_listener.aclose()
                 self._client_listener = None
-            if self._lifecycle.is_over(self._answerer.in_progress):
+            if self._lifecycle.may_exit(self._answerer.in_progress):
                 break
         scope.cancel()
 
-    async def _give_up_duties(self) -> None:
+    async def _release_duties(self) -> None:
         """Hand the duties over to other nodes at once; requests in progress do not need them."""
         await self._tenure.give_up()
         await self._registration.give_up()
 
     def _reload(self) -> None:
         """Read the settings again and apply the log level; the other settings take effect at the next start."""
-        settings = load_traffic_settings(self._path)
+        settings = load_traffic_settings(self._settings_path)
         if isinstance(settings, Fault):
             logger.error("settings not reloaded", extra={"fault": str(settings)})
             return
@@ -205,11 +207,11 @@
         await self._serve(stream, self._answer_readiness)
 
     async def _serve_metrics(self, stream: SocketStream) -> None:
-        self._inspection.in_progress = self._answerer.in_progress
-        await self._serve(stream, self._inspection.answer)
+        self._operator_handler.in_progress = self._answerer.in_progress
+        await self._serve(stream, self._operator_handler.answer)
 
     async def _serve_peer(self, stream: SocketStream) -> None:
-        await self._serve(stream, self._changes.answer)
+        await self._serve(stream, self._change_server.answer)
 
     async def _serve(self, stream: SocketStream, handler: Handler) -> None:
         configuration = self._view.configuration
--- a/packages/node/src/vaneturn_node/traffic/process/inspection.py
+++ b/packages/node/src/vaneturn_node/traffic/process/inspection.py
@@ -23,7 +23,7 @@
 _TEXT: Final = [(b"content-type", b"text/plain; version=0.0.4")]
 
 
-class Inspection:
+class OperatorHandler:
     """Handles requests to the metrics address."""
 
     def __init__(
@@ -53,7 +53,7 @@
         if request.path == "/metrics":
             await answer.send_whole(200, _TEXT, self._render_metrics())
         elif request.path == "/state":
-            await answer.send_whole(200, _JSON, msgspec.json.encode(self._describe()))
+            await answer.send_whole(200, _JSON, msgspec.json.encode(self._describe_node()))
         elif request.path.startswith(REQUESTS_PATH):
             ended = self._ended.find(RequestId(request.path.removeprefix(REQUESTS_PATH)))
             await answer.send_whole(200 if ended else 404, _JSON, msgspec.json.encode(ended))
@@ -64,17 +64,17 @@
         from vaneturn_node.traffic.process.metricstext import Gauges, render_metrics  # noqa: PLC0415 # the docstring of metricstext.py says why
 
         view = self._parts.view
-        beliefs, now = self._parts.beliefs, read_clock()
+        statuses, now = self._parts.beliefs, read_clock()
         gauges = Gauges(
-            age=view.told_age,
-            ends=len(self._parts.crashes.list_ends()),
+            view_age=view.told_age,
+            crashes=len(self._parts.crashes.list_ends()),
             servers=len(view.servers),
             limited=len(self._parts.limits.list_limited()),
-            closed=sum(beliefs[server].is_closed(now) for server in view.servers),
+            closed=sum(statuses[server].is_closed(now) for server in view.servers),
         )
         return render_metrics(self._metrics, gauges)
 
-    def _describe(self) -> TrafficState:
+    def _describe_node(self) -> TrafficState:
         view = self._parts.view
         return TrafficState(
             vm=self._vm,
@@ -91,7 +91,7 @@
         )
 
     def _describe_server(self, server: BackendServer) -> SeenServer:
-        belief = self._parts.beliefs[server.id]
+        status = self._parts.beliefs[server.id]
         now = read_clock()
         return SeenServer(
             id=server.id,
@@ -100,14 +100,14 @@
             data_hall=server.hall,
             state=server.state.value,
             layers=[(layers.first, layers.end) for layers in server.layers],
-            in_progress=belief.in_progress,
-            failures=belief.failures,
-            resting=round(max(0.0, belief.resting_until - now), 3),
-            slowness=belief.read_slowness(now),
+            in_progress=status.in_progress,
+            failures=status.failures,
+            resting=round(max(0.0, status.resting_until - now), 3),
+            slowness=status.read_slowness(now),
             rate_limit=self._parts.limits.list_limited().get(server.id),
-            asked_rest=round(max(0.0, belief.rest_until - now), 3),
-            is_leaving=belief.is_leaving,
+            asked_rest=round(max(0.0, status.rest_until - now), 3),
+            is_leaving=status.is_leaving,
         )
 
 
-__all__ = ["Inspection"]
+__all__ = ["OperatorHandler"]
--- a/packages/node/src/vaneturn_node/traffic/process/metricstext.py
+++ b/packages/node/src/vaneturn_node/traffic/process/metricstext.py
@@ -21,8 +21,8 @@
 class Gauges:
     """Values that are read at the time of the request."""
 
-    age: float  # seconds since the store last confirmed the view
-    ends: int  # crashes of servers that count against requests
+    view_age: float  # seconds since the store last confirmed the view
+    crashes: int  # crashes of servers that count against requests
     servers: int  # listed backend servers
     limited: int  # servers with a rate limit
     closed: int  # servers that asked this node for a rest or announced that they leave
@@ -41,15 +41,15 @@
         for ending, count in self._metrics.endings.items():
             endings.add_metric([ending], count)
         yield endings
-        yield self._collect_seconds()
+        yield self._collect_latencies()
         gauges = self._gauges
-        yield GaugeMetricFamily("vaneturn_view_age_seconds", "Age of what is believed of the platform", gauges.age)
-        yield GaugeMetricFamily("vaneturn_server_ends", "Ends of servers that count against requests", gauges.ends)
+        yield GaugeMetricFamily("vaneturn_view_age_seconds", "Age of what is believed of the platform", gauges.view_age)
+        yield GaugeMetricFamily("vaneturn_server_ends", "Ends of servers that count against requests", gauges.crashes)
         yield GaugeMetricFamily("vaneturn_backend_servers", "Backend servers in the list", gauges.servers)
         yield GaugeMetricFamily("vaneturn_rate_limited_servers", "Backend servers with a rate limit", gauges.limited)
         yield GaugeMetricFamily("vaneturn_closed_servers", "Backend servers that want no requests", gauges.closed)
 
-    def _collect_seconds(self) -> HistogramMetricFamily:
+    def _collect_latencies(self) -> HistogramMetricFamily:
         labels = ["route", "customer"]
         seconds = HistogramMetricFamily("vaneturn_request_seconds", "Time of a whole request", labels=labels)
         bounds = [str(bound) for bound in (*BUCKETS, "+Inf")]
--- a/packages/node/src/vaneturn_node/traffic/process/stopping.py
+++ b/packages/node/src/vaneturn_node/traffic/process/stopping.py
@@ -8,8 +8,8 @@
 
 from vaneturn_node.clock import read_clock
 
-UNREADY_TIME: Final = 2.6  # until the platform notices that a node is not ready and sends no new clients
-CUT_MARGIN: Final = 0.8  # before the platform kills the process; requests still in progress are aborted then
+UNREADY_TIME_S: Final = 2.6  # until the platform notices that a node is not ready and sends no new clients
+ABORT_MARGIN_S: Final = 0.8  # before the platform kills the process; requests still in progress are aborted then
 
 
 class Lifecycle:
@@ -21,32 +21,32 @@
         :param stop_time: seconds from SIGTERM until the platform kills the process.
         """
         self._stop_time = stop_time
-        self.stopped_at: float | None = None
+        self.stop_requested_at: float | None = None
         self.idle_scopes: set[anyio.CancelScope] = set()
 
     @property
     def is_stopping(self) -> bool:
         """Tell whether a planned stop was requested."""
-        return self.stopped_at is not None
+        return self.stop_requested_at is not None
 
     def stop(self) -> None:
         """Begin the planned stop."""
-        self.stopped_at = read_clock()
+        self.stop_requested_at = read_clock()
         for scope in list(self.idle_scopes):
             scope.cancel()
 
-    def is_closed(self) -> bool:
+    def is_closed_to_clients(self) -> bool:
         """Tell whether new clients are refused: the platform knows of the stop, and a late request may not complete."""
-        return self.stopped_at is not None and read_clock() - self.stopped_at >= UNREADY_TIME
+        return self.stop_requested_at is not None and read_clock() - self.stop_requested_at >= UNREADY_TIME_S
 
-    def is_over(self, in_progress: int) -> bool:
+    def may_exit(self, in_progress: int) -> bool:
         """Tell whether the process may end: no request is in progress and no client is accepted, or its time is up."""
-        if self.stopped_at is None:
+        if self.stop_requested_at is None:
             return False
-        passed = read_clock() - self.stopped_at
-        if passed >= self._stop_time - CUT_MARGIN:
+        elapsed = read_clock() - self.stop_requested_at
+        if elapsed >= self._stop_time - ABORT_MARGIN_S:
             return True
-        return passed >= UNREADY_TIME and not in_progress
+        return elapsed >= UNREADY_TIME_S and not in_progress
 
 
 __all__ = ["Lifecycle"]
--- a/tests/node/traffic/process/test_metricstext.py
+++ b/tests/node/traffic/process/test_metricstext.py
@@ -10,7 +10,9 @@
 
 
 def render(metrics: TrafficMetrics) -> list[str]:
-    return render_metrics(metrics, Gauges(age=0.5, ends=2, servers=33, limited=3, closed=1)).decode().splitlines()
+    return (
+        render_metrics(metrics, Gauges(view_age=0.5, crashes=2, servers=33, limited=3, closed=1)).decode().splitlines()
+    )
 
 
 def test_requests_are_counted_by_ending_and_timed_by_route_and_customer() -> None:
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -206,7 +206,11 @@
     Proof(
         "a planned stop cuts no stream",
         f"{SYSTEM}/test_stopping.py::test_stream_under_way_is_answered_in_full",
-        (Edit(f"{TRAFFIC}/process/stopping.py", "return passed >= UNREADY_TIME and not in_progress", "return True"),),
+        (
+            Edit(
+                f"{TRAFFIC}/process/stopping.py", "return elapsed >= UNREADY_TIME_S and not in_progress", "return True"
+            ),
+        ),
     ),
     Proof(
         "a silent relay is left in time",
