--- a/packages/node/src/vaneturn_node/platform/configuration.py
+++ b/packages/node/src/vaneturn_node/platform/configuration.py
@@ -20,9 +20,9 @@
 )
 
 CONFIGURATION_KEY = "op/config"
-_MS = 0.001
-_MEGABYTE = 1e6
-_MEGABIT_BYTES = 1e6 / 8
+_S_PER_MS = 0.001
+_BYTES_PER_MB = 1e6
+_BYTES_PER_MBIT = 1e6 / 8
 
 
 class _Backend(Struct):
@@ -138,14 +138,14 @@
         host=route.host.lower(),
         prefix=route.path_prefix,
         repeatability=Repeatability(route.route_type),
-        timeout=route.timeout_ms * _MS,
-        objective=route.slo_ms * _MS,
+        timeout=route.timeout_ms * _S_PER_MS,
+        objective=route.slo_ms * _S_PER_MS,
         priority=route.priority,
         targets=tuple(Target(ServiceName(backend.service), backend.weight) for backend in backends),
         max_attempts=route.max_attempts,
         is_public=route.public,
         is_resumable=route.resumable,
-        pause_objective=None if route.gap_aim_ms is None else route.gap_aim_ms * _MS,
+        pause_objective=None if route.gap_aim_ms is None else route.gap_aim_ms * _S_PER_MS,
     )
 
 
@@ -158,21 +158,21 @@
 def _convert_engine(engine: _Engine) -> EngineProfile:
     delays = {}
     for delay in engine.delays:
-        delays[DataHall(delay.one), DataHall(delay.other)] = delay.delay_ms * _MS
-        delays[DataHall(delay.other), DataHall(delay.one)] = delay.delay_ms * _MS
+        delays[DataHall(delay.one), DataHall(delay.other)] = delay.delay_ms * _S_PER_MS
+        delays[DataHall(delay.other), DataHall(delay.one)] = delay.delay_ms * _S_PER_MS
     return EngineProfile(
         model=engine.models[0].name,
         slots=engine.slots,
         layers=engine.layers,
-        layer_bytes=engine.layer_mb * _MEGABYTE,
+        layer_bytes=engine.layer_mb * _BYTES_PER_MB,
         cache_bytes=engine.kv_token_bytes / engine.layers,
-        step=engine.step_ms * _MS,
+        step=engine.step_ms * _S_PER_MS,
         step_growth=_compute_step_growth(engine),
         handover_bytes=engine.act_bytes,
-        pipe_rate=engine.pipe_mbps * _MEGABIT_BYTES or float("inf"),
+        pipe_rate=engine.pipe_mbps * _BYTES_PER_MBIT or float("inf"),
         usual_prompt=engine.usual.prompt,
         usual_answer=engine.usual.answer,
-        kinds={kind.name: ServerKind(kind.name, kind.mb * _MEGABYTE, kind.pace) for kind in engine.kinds},
+        kinds={kind.name: ServerKind(kind.name, kind.mb * _BYTES_PER_MB, kind.pace) for kind in engine.kinds},
         delays=delays,
     )
 
@@ -180,15 +180,15 @@
 def _compute_step_growth(engine: _Engine) -> float:
     """Compute the seconds that each token in progress adds to a step, its share of the cost per request included."""
     tokens = max(1, engine.usual.prompt + engine.usual.answer)
-    return (engine.per_seq_ms / tokens + engine.context_per_k / 1000) * _MS
+    return (engine.per_seq_ms / tokens + engine.context_per_k / 1000) * _S_PER_MS
 
 
 def _convert_limits(limits: _Limits) -> ClientLimits:
     return ClientLimits(
         header_bytes=limits.max_header_bytes,
         body_bytes=limits.max_body_bytes,
-        header_time=limits.header_timeout_ms * _MS,
-        idle_time=limits.idle_timeout_ms * _MS,
+        header_time=limits.header_timeout_ms * _S_PER_MS,
+        idle_time=limits.idle_timeout_ms * _S_PER_MS,
     )
 
 
--- a/packages/node/src/vaneturn_node/platform/directives.py
+++ b/packages/node/src/vaneturn_node/platform/directives.py
@@ -11,18 +11,18 @@
 RATE_LIMIT: Final = b"server-limit"
 LEAVING: Final = b"server-leaving"
 RETRY_AFTER: Final = b"retry-after"
-MAX_RATE: Final = 1e6  # requests; a larger rate is treated as an error of the server
-TURNED_AWAY: Final = frozenset({429, 503})
+MAX_RATE_PER_S: Final = 1e6  # requests; a larger rate is treated as an error of the server
+REJECTION_STATUSES: Final = frozenset({429, 503})
 
 
 def read_directives(status: int, headers: Headers) -> ServerDirectives:
     """Read the directives of a response; invalid ones are left out, or bounded, and reported as faults."""
     faults: list[Fault] = []
     rate = _read_decimal(headers, RATE_LIMIT, faults)
-    if rate is not None and not 0 < rate <= MAX_RATE:
-        faults.append(Fault("Server-Limit", f"more than 0, at most {MAX_RATE:.0f} requests per second"))
+    if rate is not None and not 0 < rate <= MAX_RATE_PER_S:
+        faults.append(Fault("Server-Limit", f"more than 0, at most {MAX_RATE_PER_S:.0f} requests per second"))
         rate = None
-    rest = _read_decimal(headers, RETRY_AFTER, faults) if status in TURNED_AWAY else None
+    rest = _read_decimal(headers, RETRY_AFTER, faults) if status in REJECTION_STATUSES else None
     if rest is not None and rest > MAX_REST:
         faults.append(Fault("Retry-After", f"at most {MAX_REST:.0f} seconds"))
         rest = MAX_REST
@@ -49,7 +49,7 @@
 
 
 def _list_values(headers: Headers, name: bytes) -> list[bytes]:
-    return [value.strip() for one, value in headers if one == name]
+    return [value.strip() for header, value in headers if header == name]
 
 
 __all__ = ["RETRY_AFTER", "read_directives"]
--- a/packages/node/src/vaneturn_node/platform/headers.py
+++ b/packages/node/src/vaneturn_node/platform/headers.py
@@ -19,17 +19,17 @@
 CUSTOMER: Final = b"x-tenant"
 PRIORITY: Final = b"priority"
 CHAIN: Final = b"path"
-LAST_EVENT: Final = b"last-event-id"
-TOKENS: Final = b"x-token-usage"
-KEY: Final = b"authorization"
+LAST_EVENT_ID: Final = b"last-event-id"
+TOKEN_USAGE: Final = b"x-token-usage"
+AUTHORIZATION: Final = b"authorization"
 KEY_SCHEME: Final = b"Token "
 SEAL: Final = b"x-response-seal"
 NOT_RUN: Final = b"x-not-executed"
 FAULTY_SERVER: Final = b"at-server"
-LOAD: Final = b"x-instance-load"
+SERVER_LOAD: Final = b"x-instance-load"
 WRONG_SERVER: Final = 421
-_OWN_TO_SERVERS: Final = frozenset(
-    {KEY, DEADLINE, EXPECTED_SERVER, CUSTOMER, PRIORITY, CHAIN, LAST_EVENT, b"content-length", b"expect"}
+_REPLACED_HEADERS: Final = frozenset(
+    {AUTHORIZATION, DEADLINE, EXPECTED_SERVER, CUSTOMER, PRIORITY, CHAIN, LAST_EVENT_ID, b"content-length", b"expect"}
 )
 
 
@@ -76,9 +76,9 @@
     """Read the headers of a request; invalid values count as absent."""
     request = find_header(headers, REQUEST_ID)
     deadline = _read_number(find_header(headers, DEADLINE))
-    key = find_header(headers, KEY)
-    prompt, answer = _read_pair(find_header(headers, TOKENS))
-    last_event = find_header(headers, LAST_EVENT)
+    key = find_header(headers, AUTHORIZATION)
+    prompt, answer = _read_token_counts(find_header(headers, TOKEN_USAGE))
+    last_event = find_header(headers, LAST_EVENT_ID)
     return RequestFacts(
         id=RequestId(request.decode("latin-1")) if request else None,
         host=(find_header(headers, b"host") or b"").decode("latin-1").lower(),
@@ -101,14 +101,14 @@
         is_wrong_server=status == WRONG_SERVER,
         is_sealed=find_header(headers, SEAL) is not None,
         faulty=ServerAddress(faulty.decode("latin-1")) if faulty else None,
-        load=_read_load(find_header(headers, LOAD)),
+        load=_read_load(find_header(headers, SERVER_LOAD)),
         directives=read_directives(status, headers),
     )
 
 
 def build_server_headers(headers: Headers, dispatch: Dispatch) -> list[tuple[bytes, bytes]]:
     """Build the headers for a server: those of the client, less hop-by-hop and replaced ones, plus the dispatch."""
-    dropped = _OWN_TO_SERVERS | list_connection_headers(headers)
+    dropped = _REPLACED_HEADERS | list_connection_headers(headers)
     sent = [(name, value) for name, value in headers if name not in dropped]
     sent.append((EXPECTED_SERVER, dispatch.server.encode("latin-1")))
     sent.append((PRIORITY, str(dispatch.priority).encode()))
@@ -119,7 +119,7 @@
     if dispatch.chain is not None:
         sent.append((CHAIN, format_chain(dispatch.chain.parts).encode("latin-1")))
     if dispatch.last_event is not None:
-        sent.append((LAST_EVENT, dispatch.last_event.encode("latin-1")))
+        sent.append((LAST_EVENT_ID, dispatch.last_event.encode("latin-1")))
     return sent
 
 
@@ -140,7 +140,7 @@
     return float(value)
 
 
-def _read_pair(value: bytes | None) -> tuple[int, int]:
+def _read_token_counts(value: bytes | None) -> tuple[int, int]:
     numbers = (value or b"").split(b",")
     if len(numbers) != 2 or not all(number.strip().isdigit() for number in numbers):  # noqa: PLR2004 # a pair
         return 0, 0
--- a/packages/node/src/vaneturn_node/platform/servers.py
+++ b/packages/node/src/vaneturn_node/platform/servers.py
@@ -25,15 +25,15 @@
 from vaneturn_node.platform.headers import EXPECTED_SERVER, WRONG_SERVER, format_chain
 
 SERVERS_PREFIX: Final = "servers/"
-REPORT_TIME: Final = 0.4  # a healthy server answers in a few milliseconds
-ORDER_TIME: Final = 0.6
-MAX_ENTRY: Final = 65_536  # valid entries have about 250
+REPORT_TIMEOUT_S: Final = 0.4  # a healthy server answers in a few milliseconds
+ORDER_TIMEOUT_S: Final = 0.6
+MAX_ENTRY_BYTES: Final = 65_536  # valid entries have about 250
 MAX_SLOTS: Final = 10_000  # servers have 6 to 192 at present
 MAX_LAYERS: Final = 10_000  # models have 40 to 80 at present
 MAX_PORT: Final = 65_535
-MAX_NAME: Final = 200  # the same limit as for keys of the store
+MAX_NAME_LENGTH: Final = 200  # the same limit as for keys of the store
 
-Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME)]
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 Born = Annotated[int, Meta(ge=1, le=2**53)]  # Unix milliseconds
 
 
@@ -91,8 +91,8 @@
 
 def decode_server(name: ServerName, value: bytes) -> BackendServer | Fault:
     """Decode an entry of the list; the fault for one that violates the platform's specification names the field."""
-    if len(value) > MAX_ENTRY:
-        return Fault("$", f"{len(value)} bytes are more than {MAX_ENTRY}")
+    if len(value) > MAX_ENTRY_BYTES:
+        return Fault("$", f"{len(value)} bytes are more than {MAX_ENTRY_BYTES}")
     try:
         entry = msgspec.json.decode(value, type=_Entry)
     except msgspec.DecodeError as error:
@@ -130,9 +130,9 @@
     )
 
 
-def _read_born(said: _Entry | _Report) -> int | None:
+def _read_born(source: _Entry | _Report) -> int | None:
     """Read the start time of a server; None if the field is absent (the decoder rejects a null)."""
-    return None if said.born is UNSET else said.born
+    return None if source.born is UNSET else source.born
 
 
 def is_address(text: str) -> bool:
@@ -152,7 +152,7 @@
 
 
 def _convert_layers(ranges: list[_Layers]) -> tuple[LayerRange, ...]:
-    return tuple(LayerRange(one.first, one.end) for one in ranges if one.end > one.first)
+    return tuple(LayerRange(layers.first, layers.end) for layers in ranges if layers.end > layers.first)
 
 
 class ServerCalls:
@@ -161,9 +161,9 @@
     def __init__(self, caller: Caller) -> None:
         self._caller = caller
 
-    async def read_report(self, server: BackendServer, limit: float = REPORT_TIME) -> ServerReport | Failed:
+    async def read_report(self, server: BackendServer, limit: float = REPORT_TIMEOUT_S) -> ServerReport | Failed:
         """Request the report of a server."""
-        reply = await self._caller.call(server.address, "GET", "/api/report", limit, headers=_expect(server))
+        reply = await self._caller.call(server.address, "GET", "/api/report", limit, headers=_build_expectation(server))
         if isinstance(reply, Failed):
             return reply
         if reply.status == WRONG_SERVER:
@@ -205,7 +205,7 @@
     async def _order(self, server: BackendServer, order: dict[str, object]) -> OrderOutcome:
         body = msgspec.json.encode(order)
         reply = await self._caller.call(
-            server.address, "POST", "/api/order", ORDER_TIME, body=body, headers=_expect(server)
+            server.address, "POST", "/api/order", ORDER_TIMEOUT_S, body=body, headers=_build_expectation(server)
         )
         if isinstance(reply, Failed):
             return OrderOutcome.UNKNOWN if reply.was_sent else OrderOutcome.REFUSED
@@ -218,7 +218,7 @@
         return outcomes.get(reply.status, OrderOutcome.REFUSED)
 
 
-def _expect(server: BackendServer) -> list[tuple[bytes, bytes]]:
+def _build_expectation(server: BackendServer) -> list[tuple[bytes, bytes]]:
     return [(EXPECTED_SERVER, server.name.encode("latin-1"))]
 
 
--- a/packages/node/src/vaneturn_node/platform/store.py
+++ b/packages/node/src/vaneturn_node/platform/store.py
@@ -14,16 +14,16 @@
 from vaneturn_core.traffic.servers import ServerAddress
 from vaneturn_node.http1.caller import Arrival, Caller, Failed, Reply
 
-CALL_TIME: Final = 1.0  # a healthy store answers in milliseconds
-WATCH_MARGIN: Final = 0.5  # beyond the wait of a watch until the head of the response is due
-SILENCE: Final = 0.5  # the longest pause within the body of a response
-BODY_TIME: Final = 0.6  # added for the body of a watch's response; the longest value takes 0.56 s at 20 Mbit/s
+CALL_TIMEOUT_S: Final = 1.0  # a healthy store answers in milliseconds
+WATCH_MARGIN_S: Final = 0.5  # beyond the wait of a watch until the head of the response is due
+MAX_SILENCE_S: Final = 0.5  # the longest pause within the body of a response
+BODY_EXTRA_TIME_S: Final = 0.6  # added for the body of a watch's response; the longest value takes 0.56 s at 20 Mbit/s
 _OK: Final = 200
 _NO_LEASE: Final = 404
 _NO_KEY: Final = 404
 _CONFLICT: Final = 412
 _HISTORY_GONE: Final = 410
-_NOTHING_DONE: Final = frozenset({429, 503})
+_NOT_DONE_STATUSES: Final = frozenset({429, 503})
 
 
 @dataclass(frozen=True, slots=True)
@@ -149,7 +149,7 @@
         call, since the next response would be even longer; read the newest values instead.
         """
         query = urlencode({"path_prefix": prefix, "since_rev": revision, "wait_ms": int(wait * 1000)})
-        reply = await self._call("GET", f"/api/kv-watch?{query}", wait + WATCH_MARGIN, arrival=arrival)
+        reply = await self._call("GET", f"/api/kv-watch?{query}", wait + WATCH_MARGIN_S, arrival=arrival)
         if isinstance(reply, MaybeDone) and reply.is_unfinished:
             return WatchTooLong(reply.cause)
         if not isinstance(reply, Reply):
@@ -200,15 +200,15 @@
 
     async def _read(self, target: str) -> Reply | NotDone | MaybeDone:
         """Read values without a total timeout while bytes arrive, since no shorter response could replace them."""
-        return await self._call("GET", target, arrival=Arrival(math.inf, SILENCE))
+        return await self._call("GET", target, arrival=Arrival(math.inf, MAX_SILENCE_S))
 
     async def _call(
-        self, method: str, target: str, limit: float = CALL_TIME, body: bytes = b"", arrival: Arrival | None = None
+        self, method: str, target: str, limit: float = CALL_TIMEOUT_S, body: bytes = b"", arrival: Arrival | None = None
     ) -> Reply | NotDone | MaybeDone:
         reply = await self._caller.call(self._address, method, target, limit, body=body, arrival=arrival)
         if isinstance(reply, Failed):
             return MaybeDone(reply.cause, reply.is_unfinished) if reply.was_sent else NotDone(reply.cause)
-        if reply.status in _NOTHING_DONE:
+        if reply.status in _NOT_DONE_STATUSES:
             return NotDone(f"status {reply.status}")
         return reply
 
@@ -234,8 +234,8 @@
 
 
 __all__ = [
-    "BODY_TIME",
-    "SILENCE",
+    "BODY_EXTRA_TIME_S",
+    "MAX_SILENCE_S",
     "HistoryGone",
     "Lease",
     "LeaseOver",
--- a/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
@@ -19,7 +19,7 @@
 from vaneturn_node.clock import read_clock
 from vaneturn_node.http1.caller import Arrival
 from vaneturn_node.http1.server import ClientAnswer, ClientRequest
-from vaneturn_node.platform.store import BODY_TIME, SILENCE
+from vaneturn_node.platform.store import BODY_EXTRA_TIME_S, MAX_SILENCE_S
 from vaneturn_node.traffic.servers.permits import PERMITS_PATH, Permits
 from vaneturn_node.traffic.sharing.changelog import ChangeLog
 from vaneturn_node.traffic.sharing.crashsharing import CRASHES_PATH, CrashSharing
@@ -68,7 +68,7 @@
         self._asked_at = float("-inf")
         self._packed = b""  # the loads of all nodes
         self._packed_at = float("-inf")
-        self.arrival = Arrival(BODY_TIME, SILENCE)  # of the store's answers to this node's watch
+        self.arrival = Arrival(BODY_EXTRA_TIME_S, MAX_SILENCE_S)  # of the store's answers to this node's watch
 
     def is_asked(self) -> bool:
         """Tell whether nodes ask this one."""
--- a/tests/node/traffic/following/test_serverentries.py
+++ b/tests/node/traffic/following/test_serverentries.py
@@ -29,7 +29,7 @@
 from vaneturn_core.traffic.view import PlatformView, StoreContact
 from vaneturn_node.http1.caller import Caller, Failed, Reply
 from vaneturn_node.http1.pool import LinkPool
-from vaneturn_node.platform.servers import MAX_ENTRY, ServerCalls, ServerReport, decode_server
+from vaneturn_node.platform.servers import MAX_ENTRY_BYTES, ServerCalls, ServerReport, decode_server
 from vaneturn_node.platform.store import PlatformStore, StoreItem
 from vaneturn_node.traffic.duties.tenure import Tenure
 from vaneturn_node.traffic.following.viewkeeping import ViewKeeper
@@ -96,7 +96,9 @@
     assert fault.path.startswith(f"$.{field}")
 
 
-@pytest.mark.parametrize("value", [b"", b"\xff\xfe", b"[]", b"null", b"{", b"[" * 100_000, b" " * (MAX_ENTRY + 1)])
+@pytest.mark.parametrize(
+    "value", [b"", b"\xff\xfe", b"[]", b"null", b"{", b"[" * 100_000, b" " * (MAX_ENTRY_BYTES + 1)]
+)
 def test_bytes_that_are_no_entry_are_no_server(value: bytes) -> None:
     assert isinstance(decode_server(ServerName("i-1"), value), Fault)
 
