--- a/packages/node/src/vaneturn_node/platform/store.py
+++ b/packages/node/src/vaneturn_node/platform/store.py
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseOver:
+class LeaseExpired:
     """The lease no longer exists."""
 
 
@@ -161,7 +161,7 @@
 
     async def write(
         self, key: str, value: bytes, expected: int | None, lease: int = 0
-    ) -> int | StoreConflict | LeaseOver | NotDone | MaybeDone:
+    ) -> int | StoreConflict | LeaseExpired | NotDone | MaybeDone:
         """Write a key if it has the expected revision (0: absent), and return the revision of the write."""
         put = [{"key": key, "value": value, "lease": lease}]
         rows = [] if expected is None else [{"key": key, "revision": expected}]
@@ -172,7 +172,7 @@
         if reply.status == _CONFLICT:
             return StoreConflict()
         if reply.status == _NO_LEASE:
-            return LeaseOver()
+            return LeaseExpired()
         written = _decode(reply, _Written)
         return written if isinstance(written, NotDone) else written.revision
 
@@ -184,13 +184,13 @@
         granted = _decode(reply, _Granted)
         return granted if isinstance(granted, NotDone) else Lease(granted.lease, granted.ttl_ms / 1000)
 
-    async def keep_lease(self, lease: int) -> Lease | LeaseOver | NotDone | MaybeDone:
+    async def renew_lease(self, lease: int) -> Lease | LeaseExpired | NotDone | MaybeDone:
         """Renew a lease."""
         reply = await self._call("POST", f"/api/kv-keep/{lease}", body=b"{}")
         if not isinstance(reply, Reply):
             return reply
         if reply.status == _NO_LEASE:
-            return LeaseOver()
+            return LeaseExpired()
         granted = _decode(reply, _Granted)
         return granted if isinstance(granted, NotDone) else Lease(lease, granted.ttl_ms / 1000)
 
@@ -238,7 +238,7 @@
     "MAX_SILENCE_S",
     "HistoryGone",
     "Lease",
-    "LeaseOver",
+    "LeaseExpired",
     "MaybeDone",
     "NotDone",
     "PlatformStore",
--- a/packages/node/src/vaneturn_node/traffic/duties/placing.py
+++ b/packages/node/src/vaneturn_node/traffic/duties/placing.py
@@ -53,7 +53,7 @@
         """Plan and send orders until cancelled."""
         while True:
             await anyio.sleep(ROUND_INTERVAL_S)
-            if not self._tenure.is_sure() or self._view.configuration is None:
+            if not self._tenure.is_valid() or self._view.configuration is None:
                 self._pending.clear()
                 continue
             for service in self._view.configuration.services.values():
@@ -113,7 +113,7 @@
         if report.is_loading or placement.layers in report.layers:
             self._set_pending(placement, LOAD_TIMEOUT_S)
             return
-        if not self._tenure.is_sure():
+        if not self._tenure.is_valid():
             return
         fence = self._tenure.fence
         outcome = await self._calls.place(server, placement.layers, fence, report.orders)
--- a/packages/node/src/vaneturn_node/traffic/duties/registration.py
+++ b/packages/node/src/vaneturn_node/traffic/duties/registration.py
@@ -8,7 +8,7 @@
 import anyio
 
 from vaneturn_core.identifiers import VmId
-from vaneturn_node.platform.store import Lease, LeaseOver, PlatformStore
+from vaneturn_node.platform.store import Lease, LeaseExpired, PlatformStore
 from vaneturn_node.traffic.duties.records import NODES_PREFIX, NodeRecord, encode_node
 
 LEASE_TTL_S: Final = 20.0  # long, since the record of a lost node only makes the shares of the others smaller
@@ -45,14 +45,14 @@
         return True
 
     async def _renew(self, lease: int) -> bool:
-        renewed = await self._store.keep_lease(lease)
-        if isinstance(renewed, LeaseOver):
+        renewed = await self._store.renew_lease(lease)
+        if isinstance(renewed, LeaseExpired):
             logger.info("registration lapsed; registering again", extra={"lease": lease})
             self._lease = None
             return False
         return isinstance(renewed, Lease)
 
-    async def give_up(self) -> None:
+    async def deregister(self) -> None:
         """Remove the record at a planned stop."""
         self._is_stopping = True
         if self._lease is not None:
--- a/packages/node/src/vaneturn_node/traffic/duties/tenure.py
+++ b/packages/node/src/vaneturn_node/traffic/duties/tenure.py
@@ -15,7 +15,7 @@
 
 from vaneturn_core.identifiers import NodeId, VmId
 from vaneturn_node.clock import read_clock
-from vaneturn_node.platform.store import Lease, LeaseOver, MaybeDone, NotDone, PlatformStore, StoreConflict
+from vaneturn_node.platform.store import Lease, LeaseExpired, MaybeDone, NotDone, PlatformStore, StoreConflict
 from vaneturn_node.traffic.duties.records import TENURE_KEY, TenureHolder, decode_holder, encode_holder
 
 # After the loss of a holder nobody sends orders for this time, so lost layers stay missing.
@@ -56,7 +56,7 @@
         """The fence for orders of this node."""
         return self._record_revision
 
-    def is_sure(self) -> bool:
+    def is_valid(self) -> bool:
         """Tell whether this node holds the tenure for long enough that an order sent now arrives within it."""
         return self._is_holder() and read_clock() < self._valid_until - ORDER_MARGIN_S
 
@@ -96,11 +96,11 @@
 
     async def _renew(self, lease: int) -> None:
         started = read_clock()
-        renewed = await self._store.keep_lease(lease)
+        renewed = await self._store.renew_lease(lease)
         if isinstance(renewed, Lease):
             self._valid_until = started + renewed.time
             return
-        if isinstance(renewed, LeaseOver):
+        if isinstance(renewed, LeaseExpired):
             logger.info("tenure lost", extra={"fence": self.fence})
             self._valid_until = float("-inf")
             self._lease = None
@@ -112,7 +112,7 @@
         if not isinstance(lease, Lease):
             return
         written = await self._store.write(TENURE_KEY, encode_holder(self._own_record), 0, lease.id)
-        if isinstance(written, StoreConflict | LeaseOver | NotDone):
+        if isinstance(written, StoreConflict | LeaseExpired | NotDone):
             await self._store.end_lease(lease.id)
             return
         self._lease = lease.id
@@ -123,7 +123,7 @@
         self._record_revision = written
         logger.info("tenure taken", extra={"fence": written})
 
-    async def give_up(self) -> None:
+    async def release(self) -> None:
         """Give up the tenure at a planned stop, so that the next node need not wait for the lease to run out."""
         self._is_stopping = True
         lease, self._lease = self._lease, None
--- a/packages/node/src/vaneturn_node/traffic/process/daemon.py
+++ b/packages/node/src/vaneturn_node/traffic/process/daemon.py
@@ -185,8 +185,8 @@
 
     async def _release_duties(self) -> None:
         """Hand the duties over to other nodes at once; requests in progress do not need them."""
-        await self._tenure.give_up()
-        await self._registration.give_up()
+        await self._tenure.release()
+        await self._registration.deregister()
 
     def _reload(self) -> None:
         """Read the settings again and apply the log level; the other settings take effect at the next start."""
--- a/packages/node/src/vaneturn_node/traffic/process/inspection.py
+++ b/packages/node/src/vaneturn_node/traffic/process/inspection.py
@@ -83,7 +83,7 @@
             age=round(view.told_age, 3),
             is_ready=not self._lifecycle.is_stopping and view.is_ready(),
             is_stopping=self._lifecycle.is_stopping,
-            has_tenure=self._tenure.is_sure(),
+            has_tenure=self._tenure.is_valid(),
             nodes=sorted(view.nodes),
             relay=self._follower.followed,
             in_progress=self.in_progress,
--- a/tests/node/traffic/duties/test_candidacy.py
+++ b/tests/node/traffic/duties/test_candidacy.py
@@ -42,7 +42,7 @@
         self.is_written.set()
         return 1
 
-    async def keep_lease(self, lease: int) -> Lease:
+    async def renew_lease(self, lease: int) -> Lease:
         return Lease(lease, 4.0)
 
     async def end_lease(self, lease: int) -> None:
@@ -71,7 +71,7 @@
             tasks.start_soon(report_record)
             for tenure in tenures:
                 tasks.start_soon(tenure.run)
-    return store, sum(tenure.is_sure() for tenure in tenures)
+    return store, sum(tenure.is_valid() for tenure in tenures)
 
 
 async def test_few_nodes_ask_the_store_when_the_tenure_is_free() -> None:
--- a/tests/node/traffic/test_parsing.py
+++ b/tests/node/traffic/test_parsing.py
@@ -117,7 +117,7 @@
         await store.read_key("key")
         await store.write("key", b"value", 0)
         await store.grant_lease(1.0)
-        await store.keep_lease(1)
+        await store.renew_lease(1)
 
     anyio.run(call)
 
--- a/tests/node/traffic/test_suspension.py
+++ b/tests/node/traffic/test_suspension.py
@@ -97,10 +97,10 @@
 async def test_no_order_on_a_lapsed_tenure(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     suspension = Suspension(monkeypatch)
     async with open_here(tmp_path) as here:
-        await wait_for(here.node._tenure.is_sure)
+        await wait_for(here.node._tenure.is_valid)
         here.traffic.fleet.store.set_mode(Mode.SILENT)
         suspension.seconds = SUSPENDED
-        assert not here.node._tenure.is_sure()
+        assert not here.node._tenure.is_valid()
 
 
 @pytest.mark.parametrize("path", ["/notice/1", "/once/1"], ids=["stream", "plain"])
