--- a/packages/node/src/vaneturn_node/platform/headers.py
+++ b/packages/node/src/vaneturn_node/platform/headers.py
@@ -43,7 +43,7 @@
     key: str | None
     last_event: str | None  # id of the last event that the client received
     prompt_tokens: int
-    most_answer_tokens: int
+    max_answer_tokens: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,7 +86,7 @@
         key=key[len(KEY_SCHEME) :].decode("latin-1") if key and key.startswith(KEY_SCHEME) else None,
         last_event=last_event.decode("latin-1") if last_event is not None else None,
         prompt_tokens=prompt,
-        most_answer_tokens=answer,
+        max_answer_tokens=answer,
     )
 
 
--- a/packages/node/src/vaneturn_node/platform/servers.py
+++ b/packages/node/src/vaneturn_node/platform/servers.py
@@ -72,7 +72,7 @@
 class ServerReport:
     """A server's report on its state."""
 
-    orders: int  # number begun since the start of the server
+    orders_begun: int  # number begun since the start of the server
     is_loading: bool
     slowness: float  # relative to its kind; over 1: slower
     layers: tuple[LayerRange, ...]
@@ -176,17 +176,17 @@
             is_newer = born is not None and born > server.born
             return Failed(f"born {born}, not {server.born}", was_sent=True, is_gone=is_newer)
         return ServerReport(
-            orders=report.seq,
+            orders_begun=report.seq,
             is_loading=report.utilization,
             slowness=report.pace,
             layers=_convert_layers(_list_ranges(report.layers)),
             stalled={RequestId(one.id): ServerAddress(one.addr) for one in report.stalled},
         )
 
-    async def place(self, server: BackendServer, layers: LayerRange, fence: int, orders: int) -> OrderOutcome:
+    async def place(self, server: BackendServer, layers: LayerRange, fence: int, orders_begun: int) -> OrderOutcome:
         """Order a server to hold layers.
 
-        :param orders: number of orders begun by the server so far; it rejects this one if another was begun since.
+        :param orders_begun: number that the server has begun so far; it rejects this order if another was begun since.
         """
         order = {
             "op": "place",
@@ -194,7 +194,7 @@
             "target_version": layers.end,
             "how": "wait",
             "fence": fence,
-            "expected_rev": orders,
+            "expected_rev": orders_begun,
         }
         return await self._order(server, order)
 
--- a/packages/node/src/vaneturn_node/platform/store.py
+++ b/packages/node/src/vaneturn_node/platform/store.py
@@ -49,7 +49,7 @@
     """A lease and the seconds for which it is valid from the arrival of the call."""
 
     id: int
-    time: float
+    duration_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -176,9 +176,9 @@
         written = _decode(reply, _Written)
         return written if isinstance(written, NotDone) else written.revision
 
-    async def grant_lease(self, time: float) -> Lease | NotDone | MaybeDone:
+    async def grant_lease(self, ttl_s: float) -> Lease | NotDone | MaybeDone:
         """Request a lease of some seconds."""
-        reply = await self._call("POST", "/api/kv-lease", body=msgspec.json.encode({"ttl_ms": int(time * 1000)}))
+        reply = await self._call("POST", "/api/kv-lease", body=msgspec.json.encode({"ttl_ms": int(ttl_s * 1000)}))
         if not isinstance(reply, Reply):
             return reply
         granted = _decode(reply, _Granted)
--- a/packages/node/src/vaneturn_node/traffic/duties/placing.py
+++ b/packages/node/src/vaneturn_node/traffic/duties/placing.py
@@ -116,12 +116,12 @@
         if not self._tenure.is_valid():
             return
         fence = self._tenure.fence
-        outcome = await self._calls.place(server, placement.layers, fence, report.orders)
+        outcome = await self._calls.place(server, placement.layers, fence, report.orders_begun)
         extra = {
             "server": server.id,
             "layers": [placement.layers.first, placement.layers.end],
             "held": [[layers.first, layers.end] for layers in report.layers],
-            "orders": report.orders,
+            "orders": report.orders_begun,
             "fence": fence,
             "outcome": outcome.value,
         }
--- a/packages/node/src/vaneturn_node/traffic/duties/tenure.py
+++ b/packages/node/src/vaneturn_node/traffic/duties/tenure.py
@@ -98,7 +98,7 @@
         started = read_clock()
         renewed = await self._store.renew_lease(lease)
         if isinstance(renewed, Lease):
-            self._valid_until = started + renewed.time
+            self._valid_until = started + renewed.duration_s
             return
         if isinstance(renewed, LeaseExpired):
             logger.info("tenure lost", extra={"fence": self.fence})
@@ -116,7 +116,7 @@
             await self._store.end_lease(lease.id)
             return
         self._lease = lease.id
-        self._valid_until = started + lease.time
+        self._valid_until = started + lease.duration_s
         if isinstance(written, MaybeDone):
             return  # the watch of the store will show whether the record was written
         self._holder = self._own_record
--- a/packages/node/src/vaneturn_node/traffic/serving/streams.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streams.py
@@ -110,7 +110,7 @@
         )
 
     def _make_chooser(self, work: RequestInProgress, engine: EngineProfile, *, is_begun: bool) -> ChainChooser:
-        answer = min(work.facts.most_answer_tokens or engine.usual_answer, engine.usual_answer)
+        answer = min(work.facts.max_answer_tokens or engine.usual_answer, engine.usual_answer)
         prompt = work.facts.prompt_tokens or engine.usual_prompt
         nodes = self._parts.view.count_nodes()
         return ChainChooser(
--- a/tests/node/traffic/duties/test_candidacy.py
+++ b/tests/node/traffic/duties/test_candidacy.py
@@ -28,9 +28,9 @@
         self.is_written = anyio.Event()
         self.calls = 0
 
-    async def grant_lease(self, time: float) -> Lease:
+    async def grant_lease(self, ttl_s: float) -> Lease:
         self.calls += 1
-        return Lease(self.calls, time)
+        return Lease(self.calls, ttl_s)
 
     async def write(self, key: str, value: bytes, expected: int | None, lease: int = 0) -> int | StoreConflict:
         assert key
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -190,7 +190,7 @@
     Proof(
         "an order is void after another one",
         f"{SYSTEM}/test_placing.py::test_late_order_changes_nothing_after_a_newer_one",
-        (Edit(f"{PLATFORM}/servers.py", '            "expected_rev": orders,\n', ""),),
+        (Edit(f"{PLATFORM}/servers.py", '            "expected_rev": orders_begun,\n', ""),),
     ),
     Proof(
         "a holder whose lease may be over orders nothing",
