--- a/tests/node/traffic/duties/test_candidacy.py
+++ b/tests/node/traffic/duties/test_candidacy.py
@@ -19,7 +19,7 @@
 NAMES = [VmId(f"entry-{number}") for number in range(30)]
 
 
-class Store(PlatformStore):
+class FakeStore(PlatformStore):
     """A store with one record, which the nodes learn of with a delay."""
 
     def __init__(self) -> None:
@@ -50,9 +50,9 @@
         self.calls += 1
 
 
-async def run_candidates(listed: list[VmId], seconds: float) -> tuple[Store, int]:
+async def run_candidates(listed: list[VmId], seconds: float) -> tuple[FakeStore, int]:
     """Run all nodes as candidates for some seconds; return the store and the number of holders."""
-    store = Store()
+    store = FakeStore()
     tenures = [
         Tenure(store, NodeId(name), name, lambda name=name: rank_candidate(name, listed))  # type: ignore[misc]
         for name in NAMES
@@ -81,7 +81,7 @@
     assert store.calls <= 8
 
 
-async def test_node_that_is_not_listed_takes_nothing() -> None:
+async def test_unlisted_node_does_not_take_the_tenure() -> None:
     store, holders = await run_candidates([], MAX_CANDIDACY_DELAY_S + RANK_DELAY_S)
     assert holders == 0
     assert store.calls == 0
--- a/tests/node/traffic/process/test_metricstext.py
+++ b/tests/node/traffic/process/test_metricstext.py
@@ -31,7 +31,7 @@
     assert 'vaneturn_request_seconds_sum{customer="broker",route="letter"} 40.35' in text
 
 
-def test_gauges_tell_the_view() -> None:
+def test_gauges_show_the_view() -> None:
     text = render(TrafficMetrics())
     assert "vaneturn_view_age_seconds 0.5" in text
     assert "vaneturn_server_ends 2.0" in text
@@ -47,6 +47,6 @@
     assert len(metrics.latencies) == MAX_CUSTOMERS + 1
 
 
-def test_node_starts_without_the_library_of_the_metrics() -> None:
+def test_node_starts_without_importing_the_metrics_library() -> None:
     code = "import sys, vaneturn_node.traffic.process.daemon; sys.exit('prometheus_client' in sys.modules)"
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
--- a/tests/node/traffic/test_directives.py
+++ b/tests/node/traffic/test_directives.py
@@ -14,7 +14,7 @@
     assert read_directives(503, headers) == ServerDirectives(2.2, rest=3.0, is_leaving=True)
 
 
-def test_retry_after_is_a_rest_only_where_a_request_was_turned_away() -> None:
+def test_retry_after_is_read_only_where_a_request_was_rejected() -> None:
     assert read_directives(200, [(b"retry-after", b"3")]) == ServerDirectives()
     assert read_directives(429, [(b"retry-after", b"0.25")]).rest == 0.25
 
@@ -22,20 +22,20 @@
 @pytest.mark.parametrize(
     "value", [b"", b"-1", b"0", b"0.0", b"nan", b"inf", b"1e3", b"9" * 12, b"9" * 400, b"2,2", b"+2", "٣".encode()]
 )
-def test_rate_limit_that_is_none_is_refused(value: bytes) -> None:
+def test_invalid_rate_limit_is_rejected(value: bytes) -> None:
     directives = read_directives(200, [(b"server-limit", value)])
     assert directives.rate_limit is None
     assert [fault.path for fault in directives.faults] == ["Server-Limit"]
 
 
-def test_rate_limit_named_twice_is_refused() -> None:
+def test_repeated_rate_limit_is_rejected() -> None:
     directives = read_directives(200, [(b"server-limit", b"2"), (b"server-limit", b"3")])
     assert directives.rate_limit is None
     assert directives.faults
 
 
 @pytest.mark.parametrize("value", [b"Wed, 21 Oct 2026 07:28:00 GMT", b"-3", b"soon", b"1e9", b""])
-def test_rest_that_is_no_number_of_seconds_is_refused(value: bytes) -> None:
+def test_invalid_rest_is_rejected(value: bytes) -> None:
     directives = read_directives(503, [(b"retry-after", value)])
     assert directives.rest is None
     assert [fault.path for fault in directives.faults] == ["Retry-After"]
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("values", [[b"0"], [b"yes"], [b"1", b"1"]])
-def test_leaving_is_told_by_a_one(values: list[bytes]) -> None:
+def test_leaving_is_announced_only_by_a_single_one(values: list[bytes]) -> None:
     directives = read_directives(200, [(b"server-leaving", value) for value in values])
     assert not directives.is_leaving
     assert [fault.path for fault in directives.faults] == ["Server-Leaving"]
--- a/tests/node/traffic/test_parsing.py
+++ b/tests/node/traffic/test_parsing.py
@@ -70,7 +70,7 @@
 )
 
 
-class Fixed(Caller):
+class FixedCaller(Caller):
     """Gives the same response to every call."""
 
     def __init__(self, status: int, body: bytes) -> None:
@@ -82,12 +82,12 @@
 
 
 @given(HEADERS)
-def test_heads_of_requests(headers: list[tuple[bytes, bytes]]) -> None:
+def test_headers_of_requests(headers: list[tuple[bytes, bytes]]) -> None:
     assert isinstance(read_request_facts(headers), RequestFacts)
 
 
 @given(st.integers(200, 599), HEADERS)
-def test_heads_of_answers(status: int, headers: list[tuple[bytes, bytes]]) -> None:
+def test_headers_of_responses(status: int, headers: list[tuple[bytes, bytes]]) -> None:
     assert isinstance(read_answer_facts(status, headers), AnswerFacts)
 
 
@@ -109,9 +109,9 @@
 
 @given(st.sampled_from([200, 404, 410, 429, 500, 503]), BYTES)
 @settings(max_examples=60)
-def test_answers_of_the_store(status: int, body: bytes) -> None:
+def test_responses_of_the_store(status: int, body: bytes) -> None:
     async def call() -> None:
-        store = PlatformStore(Fixed(status, body), ServerAddress("store"))
+        store = PlatformStore(FixedCaller(status, body), ServerAddress("store"))
         assert isinstance(await store.watch("", 1, 1.0), StorePage | HistoryGone | NotDone)
         assert isinstance(await store.read_range(""), StorePage | NotDone)
         await store.read_key("key")
@@ -124,9 +124,9 @@
 
 @given(st.sampled_from([200, 410, 503]), BYTES)
 @settings(max_examples=60)
-def test_words_of_relays(status: int, body: bytes) -> None:
+def test_responses_of_relays(status: int, body: bytes) -> None:
     async def ask() -> None:
-        view, beliefs, caller = PlatformView(5.0, time.monotonic), ServerBeliefs(), Fixed(status, body)
+        view, beliefs, caller = PlatformView(5.0, time.monotonic), ServerBeliefs(), FixedCaller(status, body)
         losses = make_sharing("entry-1", view, beliefs, caller)
         client = ChangeClient(
             caller=caller,
@@ -151,7 +151,7 @@
 @settings(max_examples=60)
 def test_long_values_of_relays(status: int, body: bytes) -> None:
     async def read() -> None:
-        caller, log = Fixed(status, body), ChangeLog()
+        caller, log = FixedCaller(status, body), ChangeLog()
         log.replace([StoreItem("op/config", b"x" * 20_000, 3)], 3)
         store, view = PlatformStore(caller, ServerAddress("store")), PlatformView(5.0, time.monotonic)
         reader = LongValueReader(vm=VmId("entry-1"), store=store, view=view, log=log, caller=caller)
@@ -162,12 +162,12 @@
 
 
 @pytest.mark.parametrize("value", ["###", "YQ", "a\u00e9"])
-def test_value_of_the_store_that_is_no_base64(value: str) -> None:
+def test_store_value_that_is_not_base64_is_rejected(value: str) -> None:
     """Such a value must not raise: the error would end the task that follows the store, and with it the process."""
     body = json.dumps({"at": 3, "events": [{"key": "op/config", "revision": 2, "value": value}]}).encode()
 
     async def call() -> None:
-        page = await PlatformStore(Fixed(200, body), ServerAddress("store")).watch("", 1, 1.0)
+        page = await PlatformStore(FixedCaller(200, body), ServerAddress("store")).watch("", 1, 1.0)
         assert isinstance(page, NotDone)
 
     anyio.run(call)
--- a/tests/node/traffic/test_suspension.py
+++ b/tests/node/traffic/test_suspension.py
@@ -30,7 +30,7 @@
 
 pytestmark = pytest.mark.anyio
 
-SUSPENDED = 6.0  # seconds; longer than every bound that the tests check
+SUSPENSION_S = 6.0  # seconds; longer than every bound that the tests check
 
 
 class Suspension:
@@ -42,7 +42,7 @@
         monkeypatch.setattr(time, "clock_gettime", lambda clock: read(clock) + self.seconds)
 
 
-class Here:
+class LocalNode:
     """A node within the test's process, so that its clock can be patched, with its platform and a client."""
 
     def __init__(self, traffic: Traffic, node: TrafficNode) -> None:
@@ -53,7 +53,7 @@
         return await self.traffic.ask(path, X_Request_Id=request)
 
 
-class _Door:
+class _StubProcess:
     """Stands in for a node's process; requests only need its port."""
 
     def __init__(self, client_port: int) -> None:
@@ -61,7 +61,7 @@
 
 
 @asynccontextmanager
-async def open_here(folder: Path) -> AsyncIterator[Here]:
+async def open_local_node(folder: Path) -> AsyncIterator[LocalNode]:
     store = f"127.0.0.1:{find_port()}"
     async with open_fleet(store) as fleet, httpx.AsyncClient(timeout=20.0) as client:
         configure(fleet.store, make_configuration(1))
@@ -74,33 +74,33 @@
         assert not isinstance(loaded, Fault)
         node = TrafficNode(loaded, path)
         traffic = Traffic(fleet, folder, client, {})
-        traffic.nodes.append(_Door(ports[0]))  # type: ignore[arg-type]
+        traffic.nodes.append(_StubProcess(ports[0]))  # type: ignore[arg-type]
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(node.run)
             await wait_for(node._view.is_ready, START_TIME)
-            yield Here(traffic, node)
+            yield LocalNode(traffic, node)
             tasks.cancel_scope.cancel()
 
 
 async def test_no_keyed_request_runs_on_keys_out_of_date(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     suspension = Suspension(monkeypatch)
-    async with open_here(tmp_path) as here:
-        await here.traffic.add_chains()
-        assert (await here.ask("/letter/1", "before")).status_code == 200
-        here.traffic.fleet.store.set_mode(Mode.SILENT)  # the store confirms nothing after the suspension
-        suspension.seconds = SUSPENDED
-        answer = await here.ask("/letter/1", "after")
+    async with open_local_node(tmp_path) as local:
+        await local.traffic.add_chains()
+        assert (await local.ask("/letter/1", "before")).status_code == 200
+        local.traffic.fleet.store.set_mode(Mode.SILENT)  # the store confirms nothing after the suspension
+        suspension.seconds = SUSPENSION_S
+        answer = await local.ask("/letter/1", "after")
         assert answer.json()["error"] == "keys_too_old"
-        assert not here.traffic.fleet.find_runs("after")
+        assert not local.traffic.fleet.find_runs("after")
 
 
 async def test_no_order_on_a_lapsed_tenure(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     suspension = Suspension(monkeypatch)
-    async with open_here(tmp_path) as here:
-        await wait_for(here.node._tenure.is_valid)
-        here.traffic.fleet.store.set_mode(Mode.SILENT)
-        suspension.seconds = SUSPENDED
-        assert not here.node._tenure.is_valid()
+    async with open_local_node(tmp_path) as local:
+        await wait_for(local.node._tenure.is_valid)
+        local.traffic.fleet.store.set_mode(Mode.SILENT)
+        suspension.seconds = SUSPENSION_S
+        assert not local.node._tenure.is_valid()
 
 
 @pytest.mark.parametrize("path", ["/notice/1", "/once/1"], ids=["stream", "plain"])
@@ -108,12 +108,12 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, path: str
 ) -> None:
     suspension = Suspension(monkeypatch)
-    async with open_here(tmp_path) as here:
+    async with open_local_node(tmp_path) as local:
         configuration = make_configuration(2)
         for route in configuration["routes"]:
             route["timeout_ms"] = 4000
-        configure(here.traffic.fleet.store, configuration)
-        servers = [*await here.traffic.add_chains(), await here.traffic.add_desk()]
+        configure(local.traffic.fleet.store, configuration)
+        servers = [*await local.traffic.add_chains(), await local.traffic.add_desk()]
 
         async def wait(exchange: Exchange, _run: Run) -> None:
             await exchange.watch_client()
@@ -124,11 +124,11 @@
         async with anyio.create_task_group() as tasks:
 
             async def ask() -> None:
-                answers.append(await here.ask(path, "waits"))
+                answers.append(await local.ask(path, "waits"))
 
             tasks.start_soon(ask)
-            await wait_for(lambda: bool(here.traffic.fleet.find_runs("waits")))
-            suspension.seconds = SUSPENDED
+            await wait_for(lambda: bool(local.traffic.fleet.find_runs("waits")))
+            suspension.seconds = SUSPENSION_S
             await wait_for(lambda: bool(answers), 1.5)  # by the clock of the event loop, 4 s would be left
         assert answers[0].status_code == 504
 
@@ -137,31 +137,31 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     suspension = Suspension(monkeypatch)
-    async with open_here(tmp_path) as here:
-        servers = await here.traffic.add_chains()
-        report = await here.node._pool.take(servers[0].address)
+    async with open_local_node(tmp_path) as local:
+        servers = await local.traffic.add_chains()
+        report = await local.node._pool.take(servers[0].address)
         await report.send("GET", "/api/report", [(b"host", b"x")], b"", 1.0)
         await report.read_head(1.0)
         while await report.read_data(1.0) is not None:
             pass
-        await here.node._pool.put_back(report, servers[0].address)
+        await local.node._pool.put_back(report, servers[0].address)
         suspension.seconds = 100.0
-        assert await here.node._pool.take(servers[0].address) is not report
+        assert await local.node._pool.take(servers[0].address) is not report
 
 
-async def test_suspension_is_told_once(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_suspension_is_reported_once(monkeypatch: pytest.MonkeyPatch) -> None:
     suspension = Suspension(monkeypatch)
-    told: list[float] = []
+    reported: list[float] = []
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(watch_suspensions, told.append)
+        tasks.start_soon(watch_suspensions, reported.append)
         await anyio.sleep(0.25)
         suspension.seconds = 2.5
         await anyio.sleep(0.35)
         tasks.cancel_scope.cancel()
-    assert [round(seconds, 2) for seconds in told] == [2.5]
+    assert [round(seconds, 2) for seconds in reported] == [2.5]
 
 
-async def test_process_that_computed_for_long_is_told_from_one_that_stood_still(
+async def test_busy_process_is_distinguished_from_one_that_was_not_scheduled(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     suspensions: list[float] = []
@@ -175,7 +175,7 @@
             pass
         await anyio.sleep(0.15)
         tasks.cancel_scope.cancel()
-    told = [record for record in caplog.records if record.message == "held up"]
-    stood_still, computed = (getattr(record, "processor_seconds") for record in told)  # noqa: B009
-    assert stood_still < 0.6
+    held_up = [record for record in caplog.records if record.message == "held up"]
+    unscheduled, computed = (getattr(record, "processor_seconds") for record in held_up)  # noqa: B009
+    assert unscheduled < 0.6
     assert computed > 1.0
--- a/tests/system/platform/test_operators_view.py
+++ b/tests/system/platform/test_operators_view.py
@@ -17,7 +17,7 @@
     return await anyio.to_thread.run_sync(run_command, ["--nodes", nodes, *arguments])
 
 
-async def test_state_tells_servers_and_layers(traffic: Traffic, capsys: pytest.CaptureFixture[str]) -> None:
+async def test_state_shows_servers_and_layers(traffic: Traffic, capsys: pytest.CaptureFixture[str]) -> None:
     servers = await traffic.add_chains(halls=("east",))
     assert await run(traffic, "traffic") == Exit.DONE
     shown = capsys.readouterr().out
--- a/tests/system/platform/test_rig.py
+++ b/tests/system/platform/test_rig.py
@@ -17,7 +17,7 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_connection_that_waits_at_the_end_is_taken_before_the_stand_ins_stop(tmp_path: Path) -> None:
+async def test_waiting_connection_is_accepted_before_the_stand_ins_stop(tmp_path: Path) -> None:
     """asyncio raises InvalidStateError when a connection arrives in the loop iteration that cancels its listener."""
     async with open_traffic(tmp_path, nodes=1) as traffic:
         host, _, port = traffic.nodes[0].store_address.rpartition(":")
@@ -26,7 +26,7 @@
     waiting.close()
 
 
-async def test_watch_that_ends_beside_a_change_does_not_skip_it() -> None:
+async def test_watch_that_times_out_at_a_change_does_not_skip_it() -> None:
     """A watch that times out in the same loop iteration as a write must not answer with the revision after the write.
 
     The response is empty then, and the next watch continues from its revision, so the change would be skipped. Three
@@ -45,12 +45,12 @@
         tasks.start_soon(watch)
         await anyio.sleep(0.005)
         asyncio.get_running_loop().call_later(0.02, store.put, "servers/i-1", b"loaded")
-        block(0.03)  # after it, the end of the watch and the write are due at once
+        block_loop(0.03)  # after it, the end of the watch and the write are due at once
         await anyio.sleep(0.01)
     (_, page) = answers[0]
     assert page["events"] or page["at"] == before
 
 
-def block(seconds: float) -> None:
+def block_loop(seconds: float) -> None:
     """Block the event loop, so that all callbacks due meanwhile run in one iteration after it."""
     time.sleep(seconds)
--- a/tests/system/platform/test_stopping.py
+++ b/tests/system/platform/test_stopping.py
@@ -33,7 +33,7 @@
     assert node.process.popen.wait(10) == 0
 
 
-async def test_kept_connection_ends_after_the_answer_under_way(traffic: Traffic) -> None:
+async def test_open_connection_closes_after_the_response_in_progress(traffic: Traffic) -> None:
     """A connection that stays open after SIGTERM would take requests until the process ends."""
     desk = await traffic.add_desk()
     desk.work_time = 0.5
@@ -56,7 +56,7 @@
     assert (await traffic.ask("/once/1")).status_code == 200
 
 
-async def test_settings_are_read_again_at_a_signal(traffic: Traffic) -> None:
+async def test_settings_are_reloaded_at_a_signal(traffic: Traffic) -> None:
     await traffic.add_desk()
     traffic.nodes[0].process.send(signal.SIGHUP)
     await wait_for(lambda: any(line["message"] == "settings reloaded" for line in traffic.nodes[0].read_log()))
@@ -102,7 +102,7 @@
     assert [answer.status_code for answer in answers] == [200] * 3
 
 
-async def test_kept_connection_takes_no_request_long_after_the_signal(traffic: Traffic) -> None:
+async def test_open_connection_takes_no_request_long_after_the_signal(traffic: Traffic) -> None:
     """A request that is taken after the listener has closed may not end before the process does.
 
     A response that began before the signal cannot announce that its connection closes. If the connection is read once
