--- a/packages/node/src/vaneturn_node/traffic/duties/placing.py
+++ b/packages/node/src/vaneturn_node/traffic/duties/placing.py
@@ -103,7 +103,7 @@
                 tasks.start_soon(self._send_order, placement)
 
     async def _send_order(self, placement: Placement) -> None:
-        """Send one order, on condition of the number of orders that the server has begun: a late one is rejected."""
+        """Send one order that is bound to the number of orders the server has begun: a delayed one is rejected."""
         server = placement.server
         report = await self._calls.read_report(server)
         if isinstance(report, Failed):
--- a/packages/node/src/vaneturn_node/traffic/duties/tenure.py
+++ b/packages/node/src/vaneturn_node/traffic/duties/tenure.py
@@ -23,9 +23,9 @@
 RENEWAL_INTERVAL_S: Final = 1.2  # two renewals in a row may fail
 ORDER_MARGIN_S: Final = 0.8  # no order is sent in this time before the end of the lease, so that none arrives after it
 MAX_CANDIDACY_DELAY_S: Final = 0.4  # between checks whether the tenure is free; upper bound of a random delay
-# A candidate waits this long for each one ranked before it, so that the other can take the tenure and the news of it
-# can arrive, which takes 0.2 s. Without the wait, 19 of 23 nodes tried at once after the loss of a holder, with three
-# calls to the store each.
+# A candidate waits this long for each one ranked before it, so that the other can take the tenure and its record can
+# reach this node, which takes 0.2 s. Without the wait, 19 of 23 nodes tried at once after the loss of a holder, with
+# three calls to the store each.
 RANK_DELAY_S: Final = 0.3
 
 logger = logging.getLogger(__name__)
@@ -37,7 +37,7 @@
     def __init__(
         self, store: PlatformStore, node: NodeId, vm: VmId, rank: Callable[[], int | None] = lambda: 0
     ) -> None:
-        """Prepare without the tenure.
+        """Start without the tenure.
 
         :param rank: gives this node's rank among the candidates, from 0, or None while it may not take the tenure.
         """
@@ -57,7 +57,7 @@
         return self._record_revision
 
     def is_valid(self) -> bool:
-        """Tell whether this node holds the tenure for long enough that an order sent now arrives within it."""
+        """Tell whether this node alone may send orders, for long enough that one sent now arrives in time."""
         return self._is_holder() and read_clock() < self._valid_until - ORDER_MARGIN_S
 
     def note_holder(self, value: bytes | None, revision: int) -> None:
