--- a/packages/node/src/vaneturn_node/platform/headers.py
+++ b/packages/node/src/vaneturn_node/platform/headers.py
@@ -41,7 +41,7 @@
     host: str
     deadline: float | None  # seconds for which the client waits
     key: str | None
-    last_event: str | None  # id of the last event that the client received
+    last_event_id: str | None  # id of the last event that the client received
     prompt_tokens: int
     max_answer_tokens: int
 
@@ -69,7 +69,7 @@
     customer: str | None
     priority: int
     chain: Chain | None
-    last_event: str | None
+    last_event_id: str | None
 
 
 def read_request_facts(headers: Headers) -> RequestFacts:
@@ -78,13 +78,13 @@
     deadline = _read_number(find_header(headers, DEADLINE))
     key = find_header(headers, AUTHORIZATION)
     prompt, answer = _read_token_counts(find_header(headers, TOKEN_USAGE))
-    last_event = find_header(headers, LAST_EVENT_ID)
+    last_event_id = find_header(headers, LAST_EVENT_ID)
     return RequestFacts(
         id=RequestId(request.decode("latin-1")) if request else None,
         host=(find_header(headers, b"host") or b"").decode("latin-1").lower(),
         deadline=None if deadline is None else deadline / 1000,
         key=key[len(KEY_SCHEME) :].decode("latin-1") if key and key.startswith(KEY_SCHEME) else None,
-        last_event=last_event.decode("latin-1") if last_event is not None else None,
+        last_event_id=last_event_id.decode("latin-1") if last_event_id is not None else None,
         prompt_tokens=prompt,
         max_answer_tokens=answer,
     )
@@ -118,8 +118,8 @@
         sent.append((CUSTOMER, dispatch.customer.encode("latin-1")))
     if dispatch.chain is not None:
         sent.append((CHAIN, format_chain(dispatch.chain.parts).encode("latin-1")))
-    if dispatch.last_event is not None:
-        sent.append((LAST_EVENT_ID, dispatch.last_event.encode("latin-1")))
+    if dispatch.last_event_id is not None:
+        sent.append((LAST_EVENT_ID, dispatch.last_event_id.encode("latin-1")))
     return sent
 
 
--- a/packages/node/src/vaneturn_node/platform/servers.py
+++ b/packages/node/src/vaneturn_node/platform/servers.py
@@ -114,7 +114,7 @@
 
 
 def _convert_entry(name: ServerName, entry: _Entry) -> BackendServer:
-    born = _read_born(entry)
+    born = _read_start_time(entry)
     return BackendServer(
         id=identify_start(name, born),
         name=name,
@@ -130,7 +130,7 @@
     )
 
 
-def _read_born(source: _Entry | _Report) -> int | None:
+def _read_start_time(source: _Entry | _Report) -> int | None:
     """Read the start time of a server; None if the field is absent (the decoder rejects a null)."""
     return None if source.born is UNSET else source.born
 
@@ -171,7 +171,7 @@
         report = _decode(reply, _Report)
         if isinstance(report, Failed):
             return report
-        born = _read_born(report)
+        born = _read_start_time(report)
         if server.born is not None and born != server.born:
             is_newer = born is not None and born > server.born
             return Failed(f"born {born}, not {server.born}", was_sent=True, is_gone=is_newer)
@@ -198,7 +198,7 @@
         }
         return await self._order(server, order)
 
-    async def replace_parts(self, server: BackendServer, request: RequestId, parts: list[Part]) -> OrderOutcome:
+    async def reroute_request(self, server: BackendServer, request: RequestId, parts: list[Part]) -> OrderOutcome:
         """Order the first server of a chain to send a request through another chain from now on."""
         return await self._order(server, {"op": "repath", "id": request, "path": format_chain(parts)})
 
--- a/packages/node/src/vaneturn_node/traffic/serving/chainhold.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/chainhold.py
@@ -102,7 +102,7 @@
     async def order_detour(self, chain: Chain) -> OrderOutcome:
         """Order the first server to take the request over another chain from now on."""
         assert self._work.facts.id is not None  # noqa: S101 # without an id a request is not let in
-        outcome = await self._parts.calls.replace_parts(self.first, self._work.facts.id, list(chain.parts))
+        outcome = await self._parts.calls.reroute_request(self.first, self._work.facts.id, list(chain.parts))
         added = [part.server.id for part in chain.parts if part not in self.chain.parts]
         self._work.note(f"detour over {added} {outcome.value}")
         if outcome is OrderOutcome.TAKEN:
--- a/packages/node/src/vaneturn_node/traffic/serving/requests.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/requests.py
@@ -124,7 +124,7 @@
             customer=self.customer.name if self.customer is not None else None,
             priority=MOST_URGENT if is_resumed else min(LEAST_URGENT, self.priority),
             chain=chain,
-            last_event=last_event if last_event is not None else self.facts.last_event,
+            last_event_id=last_event if last_event is not None else self.facts.last_event_id,
         )
 
     def bar(self) -> OwnAnswer:
--- a/packages/node/src/vaneturn_node/traffic/serving/streams.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streams.py
@@ -46,7 +46,7 @@
     ) -> Answered | OwnAnswer | None:
         """Relay an answer; none when it was given in full, or broken off after it had begun."""
         self._parts.arrivals.record()
-        client = ClientStream(answer, work.facts.last_event, self._parts.patience.take_pause)
+        client = ClientStream(answer, work.facts.last_event_id, self._parts.patience.take_pause)
         try:
             return await self._forward(work, engine, client)
         finally:
