--- a/packages/node/src/vaneturn_node/traffic/duties/placing.py
+++ b/packages/node/src/vaneturn_node/traffic/duties/placing.py
@@ -38,7 +38,7 @@
 
 
 class Placer:
-    """Plans each round from scratch, based on the current list of servers, and sends the orders."""
+    """Plans and sends orders in one task; each round plans from scratch, based on the current list of servers."""
 
     def __init__(self, tenure: Tenure, view: PlatformView, calls: ServerCalls) -> None:
         self._tenure = tenure
