--- a/packages/node/src/vaneturn_node/traffic/serving/__init__.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/__init__.py
@@ -1,1 +1,1 @@
-"""From a request to its answer, over backend servers. It imports the servers room alone."""
+"""Serves client requests over the backend servers. Of its sibling packages it imports only `servers`."""
--- a/packages/node/src/vaneturn_node/traffic/serving/answering.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/answering.py
@@ -1,4 +1,4 @@
-"""Decides what becomes of each request, and writes one log line on it."""
+"""Handles each client request and writes one log line about its outcome."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 from vaneturn_node.traffic.serving.requests import RequestInProgress
 from vaneturn_node.traffic.serving.streams import StreamForwarder
 
-NO_CONFIGURATION_RETRY: Final = 0.3  # seconds; a node reads the configuration in its first second
+NO_CONFIGURATION_RETRY: Final = 0.3  # seconds; a node reads its configuration within a second of its start
 NO_PAUSE: Final = Pause(0.0, 0.0)
-OLD_KEYS_RETRY: Final = 0.2  # seconds: other nodes may reach the store
+OLD_KEYS_RETRY: Final = 0.2  # seconds; short, since other nodes may reach the store
 
 logger = logging.getLogger(__name__)
 
 
 class Answerer:
-    """Answers the requests of all connections."""
+    """Handles the requests of all client connections."""
 
     def __init__(self, parts: TrafficParts, metrics: TrafficMetrics, ended: EndedTraffic) -> None:
         self._parts = parts
@@ -48,7 +48,7 @@
         parts.crashes.listeners.append(self._end_barred)
 
     async def answer(self, request: ClientRequest, answer: ClientAnswer) -> None:
-        """Answer one request."""
+        """Admit and forward one request, write its answer and log its outcome."""
         facts = read_request_facts(request.headers)
         work: RequestInProgress | None = None
         result: Answered | OwnAnswer | None = None
@@ -69,7 +69,7 @@
             self._log(request, facts, work, result, ending)
 
     def _admit(self, request: ClientRequest, facts: RequestFacts) -> RequestInProgress | OwnAnswer:
-        """Find the route and the customer of a request, by the configuration in force now."""
+        """Find the route and the customer of a request in the configuration in force, or refuse the request."""
         configuration = self._parts.view.configuration
         if configuration is None:
             return refuse(Reason.NO_CONFIGURATION, NO_CONFIGURATION_RETRY, self._parts.first_reading.describe())
@@ -94,7 +94,7 @@
         )
 
     def _has_key(self, route: TrafficRoute, facts: RequestFacts, customer: TrafficCustomer | None) -> bool:
-        """Tell whether the key of a request still allows it, by what the store confirmed a moment ago."""
+        """Tell whether the key of a request is still valid in a configuration that the store confirmed recently."""
         configuration = self._parts.view.configuration
         if configuration is None or route.is_public or not configuration.needs_keys:
             return True
@@ -104,8 +104,8 @@
         return now is not None and now.name == customer.name
 
     async def _forward_in_time(self, work: RequestInProgress, answer: ClientAnswer) -> Answered | OwnAnswer | None:
-        """Forward a request; at the end of its time it gets its final answer, or is broken off."""
-        if work.left <= 0:  # it has waited for the first configuration
+        """Forward a request; at its deadline, give the final answer, or break off an answer that has begun."""
+        if work.left <= 0:  # it expired while waiting for the first configuration
             return refuse(Reason.TIMEOUT, OLD_KEYS_RETRY)
         result: Answered | OwnAnswer | None = None
         with anyio.move_on_after(work.left) as scope:
@@ -126,13 +126,13 @@
         return refuse(Reason.TIMEOUT, OLD_KEYS_RETRY)
 
     def _end_barred(self) -> None:
-        """End the requests that may not run any more and wait for their first event: their servers go on."""
+        """Cancel barred requests that still wait for their first event, before their servers run them and crash."""
         for scope, work in self._open.items():
             if work.sends and not work.events and work.is_barred:
                 scope.cancel()
 
     def note_suspended(self, seconds: float) -> None:
-        """Take note that this VM was suspended: the time of requests went on, that of their waits stood still."""
+        """Shorten open timeouts by the time this VM was suspended: the event loop's clock stood still meanwhile."""
         for scope in self._open:
             scope.deadline -= seconds
 
@@ -144,13 +144,13 @@
         return await self._plain.forward(work)
 
     async def _finish(self, result: Answered | OwnAnswer | None, answer: ClientAnswer) -> str:
-        """Write an answer that was not relayed; gives how the request ended, for the log."""
+        """Write an answer that was not relayed; return how the request ended, for the log."""
         if result is None:
             return "whole" if answer.is_ended else "broken off"
         if isinstance(result, Answered):
             await answer.send_whole(result.status, build_client_headers(result.headers), result.body)
             return f"status {result.status}"
-        # an open connection stays with its node: the client's next one goes to a node that is ready
+        # a node that is not ready closes the connection, so that the client's next one goes to a node that is
         answer.closes = answer.closes or not self._parts.view.is_ready()
         headers = [(b"content-type", b"application/json")]
         if result.retry_after is not None:
--- a/packages/node/src/vaneturn_node/traffic/serving/endedtraffic.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/endedtraffic.py
@@ -1,4 +1,4 @@
-"""What became of the newest requests, for operators that ask by id."""
+"""The outcomes of the newest requests, for operators who look them up by request id."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         self._requests: OrderedDict[RequestId, TrafficRequest] = OrderedDict()
 
     def add(self, request: RequestId | None, ended: TrafficRequest) -> None:
-        """Keep what became of a request."""
+        """Keep the outcome of a request; the oldest one is dropped."""
         if request is None:
             return
         self._requests[request] = ended
@@ -26,7 +26,7 @@
             self._requests.popitem(last=False)
 
     def find(self, request: RequestId) -> TrafficRequest | None:
-        """Find a request; none when it has not ended, was not here, or is too long ago."""
+        """Find the outcome of a request; None if it is in progress, was not handled by this node, or was dropped."""
         return self._requests.get(request)
 
 
--- a/packages/node/src/vaneturn_node/traffic/serving/events.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/events.py
@@ -12,25 +12,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """The bytes of one event, its end included."""
+    """The bytes of one event, including its terminator."""
 
     data: bytes
     id: str | None
 
 
 class EventSplitter:
-    """Keeps what has no end yet."""
+    """Buffers the bytes of an incomplete event."""
 
     def __init__(self) -> None:
         self._rest = b""
 
     @property
     def rest(self) -> bytes:
-        """Give the bytes after the last whole event."""
+        """Give the bytes after the last complete event."""
         return self._rest
 
     def split(self, data: bytes) -> list[Event]:
-        """Take bytes; gives the events that are whole now."""
+        """Add bytes; return the events that are now complete."""
         rest = self._rest + data
         events = []
         start = 0
--- a/packages/node/src/vaneturn_node/traffic/serving/metrics.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of the traffic; another module puts them into text form when asked for."""
+"""Counters and latency histograms of the traffic; another module renders them as text on request."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from typing import Final
 
 BUCKETS: Final = (0.025, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0)  # seconds, upper bounds
-MAX_ROUTES: Final = 32  # labels; routes beyond them share one
+MAX_ROUTES: Final = 32  # labels; further routes share one
 MAX_CUSTOMERS: Final = 64
 OTHER: Final = "other"
 
 
 @dataclass(slots=True)
 class Latencies:
-    """The times of the requests of a route and a customer."""
+    """The latency histogram of the requests of one route and customer."""
 
-    counts: list[int] = field(default_factory=lambda: [0] * (len(BUCKETS) + 1))  # by bucket, beyond the last among them
-    seconds: float = 0.0  # of all together
+    counts: list[int] = field(default_factory=lambda: [0] * (len(BUCKETS) + 1))  # by bucket; the last one is unbounded
+    seconds: float = 0.0  # sum over all requests
 
 
 class TrafficMetrics:
-    """What is counted of a node's traffic."""
+    """Counts the requests of a node by ending, and their latencies by route and customer."""
 
     def __init__(self) -> None:
         self.endings: Counter[str] = Counter()
@@ -31,7 +31,7 @@
         self._customers: set[str] = set()
 
     def observe(self, route: str, customer: str, ending: str, seconds: float) -> None:
-        """Take a request that has ended."""
+        """Record a request that has ended."""
         self.endings[ending] += 1
         labels = _bound(route, self._routes, MAX_ROUTES), _bound(customer, self._customers, MAX_CUSTOMERS)
         latencies = self.latencies.setdefault(labels, Latencies())
--- a/packages/node/src/vaneturn_node/traffic/serving/outcomes.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of one try at one server, and the answers that this node gives itself."""
+"""Outcomes of one try at one server, and the answers that this node makes itself."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The server did not and will not run the request: no byte of it left, or the server said so."""
+    """The server did not and will not run the request: no byte of it was sent, or the server said so."""
 
     cause: str
-    is_silent: bool = False  # the server did not even take a connection
-    is_limited: bool = False  # it was not sent, as the server limits its requests
+    is_silent: bool = False  # the server did not even accept a connection
+    is_limited: bool = False  # it was not sent, because of the server's rate limit
 
 
 @dataclass(frozen=True, slots=True)
 class MayHaveRun:
-    """A byte left and no whole answer came."""
+    """At least one byte was sent, and no whole answer came back."""
 
     cause: str
 
@@ -37,7 +37,7 @@
 
 
 class Reason(Enum):
-    """Why this node answers by itself; the value stands in answers, logs and metrics."""
+    """Why this node answers a request itself; the values appear in answers, logs and metrics."""
 
     NO_CONFIGURATION = "no_configuration"
     NO_ROUTE = "no_route"
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnAnswer:
-    """An answer of this node; 503 promises that the request has not run and never will."""
+    """An answer that this node makes itself; 503 promises that the request has not run and never will."""
 
     status: int
     reason: Reason
--- a/packages/node/src/vaneturn_node/traffic/serving/requests.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/requests.py
@@ -1,4 +1,4 @@
-"""One request on its way: what it asks, how long it may take, what became of it so far."""
+"""The state of one admitted request: what it asks for, its deadline and its tries so far."""
 
 from __future__ import annotations
 
@@ -21,64 +21,63 @@
 from vaneturn_node.platform.headers import Dispatch, RequestFacts
 from vaneturn_node.traffic.serving.outcomes import OwnAnswer, Reason
 
-ANSWER_MARGIN: Final = 0.03  # seconds before the end of a request's time at which it is given up, for the way back
+ANSWER_MARGIN: Final = 0.03  # seconds before its deadline at which a request is given up, so the answer arrives in time
 MOST_URGENT: Final = 0
 LEAST_URGENT: Final = 9
 
 
 @dataclass
 class RequestInProgress:
-    """A request that was let in."""
+    """A request that was admitted."""
 
     request: ClientRequest
     facts: RequestFacts
     route: TrafficRoute
     service: ServiceName
     customer: TrafficCustomer | None
-    has_key: Callable[[], bool]  # asked right before each send: the key may have been taken away meanwhile
+    has_key: Callable[[], bool]  # called right before each send: the key may have been revoked meanwhile
     crashes: CrashBoard
     sends: int = 0
-    runs: int = 0  # sends that count as attempts: those on servers that have ended do not
-    may_have_run: bool = False  # no answer of this node may promise that it has not
+    runs: int = 0  # sends that count as attempts; those to servers that are gone do not
+    may_have_run: bool = False  # if so, no answer of this node may promise that it has not run
     avoided: set[ServerId] = field(default_factory=set)
-    events: int = 0  # of a stream, passed on
-    first_event: float = 0.0  # seconds from its arrival to the first event of a stream
+    events: int = 0  # of a stream, relayed to the client
+    first_event: float = 0.0  # seconds from the request's arrival to the first event of a stream
     longest_pause: Pause | None = None  # between two events of a stream
-    draw: float = field(
-        default_factory=random.random
-    )  # decides for all its tries whether it is among a share of requests
-    steps: list[str] = field(default_factory=list)  # what was decided, for the log
-    is_sound: bool = False  # a server has run it for a while, so that it ends none
-    waits: set[str] = field(default_factory=set)  # what is lacked since its newest event; noted once
+    # one draw for all tries, which decides whether the request belongs to a given share of requests
+    draw: float = field(default_factory=random.random)
+    steps: list[str] = field(default_factory=list)  # decisions made, for the log
+    is_sound: bool = False  # a server has run it for a while, so it does not crash servers
+    waits: set[str] = field(default_factory=set)  # reasons to wait since the newest event; each is logged once
 
     @cached_property
     def content(self) -> Content:
-        """Give what it asks for: the same when it comes again under another id."""
+        """Give the digest of what it asks for, which is the same when it is repeated under another id."""
         caller = self.customer.name if self.customer is not None else self.facts.key or ""
         return digest_content(self.facts.host, self.request.method, self.request.target, caller, self.request.body)
 
     @property
     def is_barred(self) -> bool:
-        """Tell whether it may not run any more, since servers end that begin to run it."""
+        """Tell whether it may not run any more, since servers crash when they begin to run it."""
         return self.crashes.is_barred(self.content)
 
     def may_send(self) -> bool:
-        """Tell whether it may still go to a server.
+        """Tell whether it may still be sent to a server.
 
-        Second servers, moved chains and resumed streams all ask here: 26 servers ended in 70 s under a request that
-        each of these ways sent on.
+        Sends to second servers, over other chains and of resumed streams all check this: where none of them did, one
+        request crashed 26 servers in 70 s.
         """
         return self.has_key() and not self.is_barred
 
     def find_obstacle(self, belief: ServerBelief) -> str | None:
-        """Find right before a send to a server what forbids it; none when it may be made now."""
+        """Claim a send right before it is made; return what forbids it, None if nothing does."""
         if not self.may_send():
             return "keys too old"
         return None if belief.claim_send(read_clock()) else "the server asked for no more requests"
 
     @property
     def ends(self) -> float:
-        """Give the steady time at which it must be answered."""
+        """Give the monotonic time at which it must be answered."""
         allowed = self.route.timeout
         if self.facts.deadline is not None:
             allowed = min(allowed, self.facts.deadline)
@@ -101,7 +100,7 @@
 
     @property
     def priority(self) -> int:
-        """Give its rank: the customer's goes before the route's."""
+        """Give its priority: the customer's overrides the route's."""
         if self.customer is not None and self.customer.priority is not None:
             return self.customer.priority
         return self.route.priority
@@ -114,9 +113,9 @@
         *,
         is_resumed: bool = False,
     ) -> Dispatch:
-        """Make what is added to the request for a server.
+        """Make what is added to the request when it is sent to a server.
 
-        :param is_resumed: whether the client has a part of the answer already, and waits for the next event.
+        :param is_resumed: whether the client already has a part of the answer and waits for the next event.
         """
         return Dispatch(
             server=server,
@@ -128,7 +127,7 @@
         )
 
     def bar(self) -> OwnAnswer:
-        """Make the final answer to a request that ends servers; none of its kind is to come again."""
+        """Make the final answer to a request that crashes servers; status 400 tells clients not to repeat it."""
         ends = ", ".join(self.crashes.list_ends_under(self.content))
         return OwnAnswer(400, Reason.ENDS_SERVERS, cause=f"servers ended when they began to run it: {ends}")
 
@@ -139,11 +138,11 @@
         return OwnAnswer(502, Reason.MAY_HAVE_RUN, cause=cause)
 
     def note(self, step: str) -> None:
-        """Take a step into the log line of the request."""
+        """Add a step to the log line of the request."""
         self.steps.append(f"{self.age * 1000:.0f}ms {step}")
 
     def note_wait(self, lack: str) -> None:
-        """Take what is lacked into the log line, once until the request goes on."""
+        """Add what the request waits for to its log line, once until the next event."""
         if lack not in self.waits:
             self.waits.add(lack)
             self.note(lack)
