--- a/packages/node/src/vaneturn_node/traffic/serving/clientstream.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/clientstream.py
@@ -1,4 +1,4 @@
-"""What a client has got of a streamed answer, over all tries."""
+"""The streamed answer to one client, which is relayed from one or more tries."""
 
 from __future__ import annotations
 
@@ -13,25 +13,26 @@
 
 
 class ClientStream:
-    """Passes whole events on, and knows the last one."""
+    """Relays complete events to the client, and keeps the id of the last one."""
 
     def __init__(self, answer: ClientAnswer, last_event: str | None, on_pause: Callable[[Pause], None]) -> None:
-        """Begin.
+        """Create the stream; nothing is sent to the client yet.
 
-        :param on_pause: called with each pause between two events once it is over.
+        :param on_pause: called with each pause between two events when it is over.
         """
         self._answer = answer
         self._on_pause = on_pause
         self.last_event = last_event
-        self.is_begun = False  # the client has a part of it
-        self._head: AnswerHead | None = None  # of the newest try, until the first event
-        self.first_at: float | None = None  # when the first event was passed on, steady time
+        self.is_begun = False  # the client has received a part of the answer
+        self._head: AnswerHead | None = None  # of the newest try; sent with the first event
+        self.first_at: float | None = None  # monotonic time at which the first event was relayed
         self.pace = StreamPace()
 
     def take_head(self, head: AnswerHead) -> None:
-        """Keep the head of a try; it is passed on with the first event, and what follows belongs to that answer.
+        """Keep the head of a try, to be sent with the first event; the heads of tries after that event are not sent.
 
-        Where a server ended between its head and its first event, clients saw a closed connection in place of a status.
+        If the head was sent at once and its server crashed before the first event, the client would see a closed
+        connection instead of a status.
         """
         self._head = head
 
@@ -42,7 +43,7 @@
         await self._answer.begin(self._head.status, build_client_headers(self._head.headers))
 
     async def pass_on(self, splitter: EventSplitter, data: bytes) -> int:
-        """Pass whole events on; gives how many there were."""
+        """Relay the events that are complete; return their number."""
         events = splitter.split(data)
         if not events:
             return 0
@@ -59,7 +60,7 @@
         return len(events)
 
     async def end(self, splitter: EventSplitter) -> None:
-        """End the answer as whole."""
+        """End the answer, which is complete."""
         await self._begin()
         if splitter.rest:
             await self._answer.send_part(splitter.rest)
--- a/packages/node/src/vaneturn_node/traffic/serving/plain.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/plain.py
@@ -1,4 +1,4 @@
-"""Requests to plain services: one whole answer each."""
+"""Forwards requests to plain services, which send one whole answer each."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from vaneturn_node.traffic.serving.outcomes import Answered, MayHaveRun, NotRun, OwnAnswer, Reason, TryOutcome, refuse
 from vaneturn_node.traffic.serving.requests import RequestInProgress
 
-MAX_SENDS: Final = 3  # of one request, those that servers turned away included
-FIRST_TRY_SHARE: Final = 0.6  # of the objective, after which a repeatable request goes to a second server
-FIRST_TRY_LEFT: Final = 0.4  # of the time left, if that is longer
-FIRST_LATENCY: Final = 0.05  # seconds of a server that has not answered yet; most answer in 0.05 to 0.1 s
-UNSAFE_IDLE: Final = 1.0  # seconds a kept connection may have been idle to carry what must not run twice
-RETRY_AFTER: Final = 0.15  # seconds, full jitter on top
+MAX_SENDS: Final = 3  # of one request, including those that servers refused
+FIRST_TRY_SHARE: Final = 0.6  # of the objective; after it, a safe request goes to a second server
+FIRST_TRY_LEFT: Final = 0.4  # of the time left; used if it is longer
+FIRST_LATENCY: Final = 0.05  # seconds, assumed for a server without an answer yet; most answer in 0.05 to 0.1 s
+UNSAFE_IDLE: Final = 1.0  # seconds that a pooled connection may be idle to carry a request that must not run twice
+RETRY_AFTER: Final = 0.15  # seconds, plus random jitter of up to as much
 SERVER_FAULT: Final = 500
-LOAD_MEMORY: Final = 1.0  # seconds for which a told load counts
+LOAD_MEMORY: Final = 1.0  # seconds for which a reported load counts
 
 
 class PlainForwarder:
@@ -35,10 +35,10 @@
         self._parts = parts
 
     async def forward(self, work: RequestInProgress) -> Answered | OwnAnswer:
-        """Get an answer."""
+        """Return the answer of a server, or one of this node if no server gave one."""
         budget = self._parts.find_budget(work.service)
         last: TryOutcome | None = None
-        failure: Answered | None = None  # a server's own failure, given if nothing better comes
+        failure: Answered | None = None  # a server's error answer, returned if no other server gives a better one
         while work.sends < MAX_SENDS and work.left > 0:
             server = self._choose(work)
             if server is None or not work.may_send():
@@ -77,7 +77,7 @@
         return refuse(Reason.SERVERS_LIMITED if wait else Reason.NO_SERVER, retry_after)
 
     def _choose(self, work: RequestInProgress) -> BackendServer | None:
-        """Choose the server that would answer soonest."""
+        """Choose the server that is expected to answer soonest."""
         choosable = self._parts.list_accepting(work.service, work.avoided)
         if not choosable:
             return None
@@ -117,7 +117,7 @@
         return outcome
 
     def _limit_try(self, work: RequestInProgress) -> float:
-        """Give the seconds of a try: a repeatable request leaves time for a second one."""
+        """Compute the timeout of a try in seconds; that of a safe request leaves time for a second try."""
         if work.route.repeatability is Repeatability.SAFE and work.runs + 1 < work.route.max_attempts:
             return min(work.left, max(FIRST_TRY_SHARE * work.route.objective, FIRST_TRY_LEFT * work.left))
         return work.left
--- a/packages/node/src/vaneturn_node/traffic/serving/streams.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streams.py
@@ -1,4 +1,4 @@
-"""Requests to models: a chain of servers, a stream of events, and another chain when one fails."""
+"""Forwards requests to models over a chain of servers, and over another chain when one fails."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 from vaneturn_node.traffic.serving.requests import RequestInProgress
 from vaneturn_node.traffic.serving.streamtry import OnTaken, StreamTry
 
-MAX_SENDS: Final = 5  # of one request, those that servers turned away included
-MAX_REFUSALS: Final = 3  # by servers that have no room, before the request is refused
-RETRY_AFTER: Final = 0.3  # seconds, full jitter on top: some answers end in that time
-# seconds, at random between: a hall has all its layers again after a load or two of 1.6 to 5 s, and those who come back
-# should not do so together
+MAX_SENDS: Final = 5  # of one request, including those that servers refused
+MAX_REFUSALS: Final = 3  # by servers without free capacity, before the request is refused
+RETRY_AFTER: Final = 0.3  # seconds, plus random jitter of up to as much; some answers end in that time
+# seconds, lower and upper bound of a random time: a hall has all layers again after one or two loads of layers, each of
+# 1.6 to 5 s, and the refused clients should not all return at once
 CROSSINGS_RETRY: Final = (1.0, 4.0)
-RETURN_WAIT: Final = 0.2  # seconds between looks for a chain to go on with a begun answer
+RETURN_WAIT: Final = 0.2  # seconds between searches for a chain that can resume a begun answer
 
 
 class Lack(Enum):
-    """What a request lacks for another try."""
+    """What is missing for another try of a request."""
 
     CHAIN = "chain"
-    CROSSING = "crossing"  # the only chain crosses from hall to hall, and the pipes carry no more
+    CROSSING = "crossing"  # the only chain crosses between halls, and the inter-hall links have no free capacity
     BUDGET = "budget"
 
 
 class StreamForwarder:
-    """Sends a request over a chain, and goes on over another one when that breaks."""
+    """Sends a request over a chain, and resumes it over another one when that fails."""
 
     def __init__(self, parts: TrafficParts) -> None:
         self._parts = parts
@@ -44,7 +44,7 @@
     async def forward(
         self, work: RequestInProgress, engine: EngineProfile, answer: ClientAnswer
     ) -> Answered | OwnAnswer | None:
-        """Relay an answer; none when it was given in full, or broken off after it had begun."""
+        """Relay a streamed answer; return None if it was relayed, either in full or broken off after its start."""
         self._parts.arrivals.record()
         client = ClientStream(answer, work.facts.last_event, self._parts.patience.take_pause)
         try:
@@ -64,7 +64,7 @@
             if prepared in {Lack.CHAIN, Lack.CROSSING} and client.is_begun:
                 work.note_wait("no chain")
                 await anyio.sleep(RETURN_WAIT)
-                work.avoided.clear()  # those that were lost rest; those that are back may serve
+                work.avoided.clear()  # lost servers are in backoff, and those that are back may serve
                 continue
             if not isinstance(prepared, StreamTry):
                 return self._give_up(work, client, end, prepared)
@@ -81,7 +81,7 @@
     def _prepare(
         self, work: RequestInProgress, engine: EngineProfile, client: ClientStream, on_taken: OnTaken | None = None
     ) -> StreamTry | Lack:
-        """Prepare a try: a chain for it and, if it is not the first, its part of the retry budget."""
+        """Prepare a try: choose its chain and, unless it is the first, take it from the retry budget."""
         chooser = self._make_chooser(work, engine, is_begun=client.is_begun)
         chain = chooser.choose(self._parts.list_choosable(work.service, work.avoided))
         if chain is None:
@@ -94,7 +94,7 @@
             return Lack.BUDGET
 
         def find_next(on_next_taken: OnTaken) -> StreamTry | None:
-            if work.sends >= MAX_SENDS - 1 or not work.may_send():  # the last one is for when no try is left
+            if work.sends >= MAX_SENDS - 1 or not work.may_send():  # the last send is kept for when no try is left
                 return None
             prepared = self._prepare(work, engine, client, on_next_taken)
             return prepared if isinstance(prepared, StreamTry) else None
