--- a/packages/node/src/vaneturn_node/traffic/serving/chainhold.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/chainhold.py
@@ -1,4 +1,4 @@
-"""What one try takes of the servers of its chain, and what it sees of them."""
+"""The chain of one try: what it reserves on the servers, and what it records about them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ChainHold:
-    """The chain of a try, which a detour may change; its places and memory are counted while it is taken."""
+    """The chain of a try, which a detour may change; it counts as load on its servers while it is reserved."""
 
     def __init__(self, parts: TrafficParts, work: RequestInProgress, chooser: ChainChooser, chain: Chain) -> None:
         self._parts = parts
@@ -21,17 +21,17 @@
         self._chooser = chooser
         self.chain = chain
         self.is_taken = False
-        self.taken_at = 0.0  # steady time
-        self.sent_at = 0.0  # steady time at which the request went to the first server
-        self.is_counted = False  # as a run
+        self.taken_at = 0.0  # monotonic time
+        self.sent_at = 0.0  # monotonic time at which the request was sent to the first server
+        self.is_counted = False  # as a run of the request
 
     @property
     def first(self) -> BackendServer:
-        """Give the server that takes the request and answers it."""
+        """Give the first server, which receives the request and sends the answer."""
         return self.chain.first
 
     def take(self) -> None:
-        """Count the request on every server of the chain."""
+        """Reserve the slots and the memory of the request on every server of the chain."""
         self.is_taken = True
         self.taken_at = read_clock()
         over = " ".join(f"{part.server.id}[{part.first},{part.end})" for part in self.chain.parts)
@@ -39,24 +39,24 @@
         self._reserve(1)
 
     def give_back(self) -> None:
-        """Count it no more."""
+        """Release what was reserved."""
         self.is_taken = False
         self._reserve(-1)
 
     def count_run(self) -> None:
-        """Count that the request may have run on the first server, once for each try."""
+        """Count that the request may have run on the first server, at most once per try."""
         if not self.is_counted:
             self.is_counted = True
             self._work.runs += 1
 
     def uncount_run(self) -> None:
-        """Count it no more: runs on servers that have ended do not count."""
+        """Undo the count of the run: runs on servers that are gone do not count."""
         if self.is_counted:
             self.is_counted = False
             self._work.runs -= 1
 
     def note_heard(self) -> None:
-        """Take note that every part of the chain has just worked."""
+        """Record that every part of the chain has just worked."""
         now = read_clock()
         for part in self.chain.parts:
             self._parts.beliefs[part.server.id].record_token(now)
@@ -64,26 +64,26 @@
         self._work.waits.clear()
 
     def note_part_lost(self, part: Part) -> None:
-        """Take note of a lost part, once while it is silent."""
+        """Record the loss of a part, once while it is unresponsive."""
         if part.server.id not in self._work.avoided:
             self._work.avoided.add(part.server.id)
             self._parts.note_lost(part.server.id)
 
     def note_refusal(self, facts: AnswerFacts) -> BackendServer:
-        """Take note of a refusal, which names the part of the chain at fault; gives its server."""
+        """Record a refusal; return the server at fault, which is the first one unless the refusal names another."""
         faulty = self.first if facts.faulty is None else self._find_server(facts.faulty)
         self._work.avoided.add(faulty.id)
         if facts.is_wrong_server and facts.faulty is None:
             self._parts.beliefs[faulty.id].is_replaced = True
-        elif facts.faulty is not None:  # dead, without the layers, or full: the next requests need not find out again
+        elif facts.faulty is not None:  # down, without the layers, or full: spares later requests the same refusal
             fullness = self._chooser.estimate_server(faulty, is_first=faulty is self.first)
             self._parts.note_refusal(faulty.id, fullness)
         return faulty
 
     def find_detour(self) -> Chain | None:
-        """Find a chain with other servers for the parts on those that the request avoids; none when there are none.
+        """Find a chain that replaces the parts on servers that the request avoids; None if there is none.
 
-        The first part stays: its server makes the answer.
+        The first part stays, since its server sends the answer.
         """
         choosable = self._parts.list_choosable(self._work.service, self._work.avoided)
         kept = [part for part in self.chain.parts if part is self.chain.parts[0] or not self._is_avoided(part)]
@@ -100,8 +100,8 @@
         return Chain(self.chain.layers, tuple(parts))
 
     async def order_detour(self, chain: Chain) -> OrderOutcome:
-        """Order the first server to take the request over another chain from now on."""
-        assert self._work.facts.id is not None  # noqa: S101 # without an id a request is not let in
+        """Order the first server to run the rest of the request over another chain."""
+        assert self._work.facts.id is not None  # noqa: S101 # a request without an id is not admitted
         outcome = await self._parts.calls.replace_parts(self.first, self._work.facts.id, list(chain.parts))
         added = [part.server.id for part in chain.parts if part not in self.chain.parts]
         self._work.note(f"detour over {added} {outcome.value}")
@@ -109,7 +109,7 @@
             self._reserve(-1)
             self.chain = chain
             self._reserve(1)
-        elif outcome is OrderOutcome.CONFLICT:  # one of them has no room, or does not hold its part any more
+        elif outcome is OrderOutcome.CONFLICT:  # one of them has no free capacity, or no longer holds its part
             self._work.avoided.update(added)
         return outcome
 
--- a/packages/node/src/vaneturn_node/traffic/serving/heads.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/heads.py
@@ -1,4 +1,4 @@
-"""What the head of a server's answer says of a try."""
+"""Handles the head of a server's answer to a try, and the body where it is no success."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from vaneturn_node.traffic.serving.requests import RequestInProgress
 
 SUCCESS: Final = range(200, 300)
-REST_TIME: Final = 0.05  # seconds at least for the rest of an answer that is no success
+REST_TIME: Final = 0.05  # minimum seconds for reading the body of an answer that is no success
 
 
 async def take_head(
     parts: TrafficParts, work: RequestInProgress, hold: ChainHold, link: HttpLink, head: AnswerHead
 ) -> TryOutcome | None:
-    """Take the head of an answer; gives the end of the try if it is no success.
+    """Handle the head of an answer; return the outcome of the try if it is no success.
 
-    :raises LinkError: the answer is not one to this request, or not the server's.
+    :raises LinkError: the answer is to another request, or not from the server.
     """
     facts = read_answer_facts(head.status, head.headers)
     belief = parts.beliefs[hold.first.id]
@@ -44,7 +44,7 @@
 async def _take_failure(
     parts: TrafficParts, work: RequestInProgress, hold: ChainHold, link: HttpLink, head: AnswerHead
 ) -> TryOutcome:
-    """Take an answer that is no success."""
+    """Read an answer that is no success; return the outcome of the try."""
     body = []
     while (data := await link.read_data(max(REST_TIME, work.left))) is not None:
         body.append(data)
--- a/packages/node/src/vaneturn_node/traffic/serving/repair.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/repair.py
@@ -1,4 +1,4 @@
-"""Looks for the lost parts of a chain while no event comes, and goes round them."""
+"""Finds the lost parts of a chain while no event arrives, and replaces them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class TryOverError(Exception):
-    """A try has ended before its answer; the end is that of the try that took its place, where one did."""
+    """A try has ended before its answer; the end is the outcome of the try that replaced it, if one did."""
 
     def __init__(self, end: TryOutcome | None) -> None:
         super().__init__(repr(end))
@@ -27,13 +27,13 @@
 
 
 class Move(Protocol):
-    """Goes on with another try, where there is one."""
+    """Moves the request to another try, if there is one."""
 
     async def __call__(self, cause: str, *, is_gone: bool) -> None:
-        """Go on for a cause; returns when there is no other try, or no server has taken it.
+        """Move the request for the given cause; return if there is no other try, or no server has accepted it.
 
-        :param is_gone: whether the run on the first server counts no more.
-        :raises TryOverError: another try has taken the place of this one, or this one cannot go on.
+        :param is_gone: whether the first server is lost, so that the run on it no longer counts.
+        :raises TryOverError: another try has replaced this one, or this one cannot continue.
         """
 
 
@@ -52,13 +52,13 @@
 
     @property
     def should_look_soon(self) -> bool:
-        """Tell whether the newest look says little."""
+        """Tell whether the newest probe was inconclusive."""
         return self._finder.should_ask_soon
 
     async def look_for_loss(self) -> None:
-        """Look for lost parts, and go round them, or on with another try.
+        """Probe the chain for lost parts; replace them, or move the request to another try.
 
-        :raises TryOverError: another try has taken the place of this one, or it cannot go on.
+        :raises TryOverError: another try has replaced this one, or this one cannot continue.
         """
         pace = self._client.pace
         pace.mark(Stage.LOOKED, read_clock())
@@ -74,10 +74,10 @@
             await self._replace(losses.parts)
 
     async def _pass_lost_first(self) -> None:
-        """Go on elsewhere, as the server that answers is silent; where nothing else can, its answer may still come."""
+        """Move to another try, as the answering server is unresponsive; if none can, its answer may still arrive."""
         self._hold.note_part_lost(self._hold.chain.parts[0])
         await self._move("first server lost", is_gone=True)
-        is_all = self._client.is_begun or not self._work.route.may_repeat  # that this request can get
+        is_all = self._client.is_begun or not self._work.route.may_repeat  # the request can get no answer but this one
         first = self._hold.first.id
         has_left = first not in self._parts.view.servers or self._parts.reports.is_gone(first)
         if has_left or not is_all:
@@ -85,13 +85,13 @@
             raise TryOverError(MayHaveRun("first server lost"))
 
     async def _replace(self, lost: list[Part]) -> None:
-        """Take the request over other servers in place of the lost ones."""
+        """Replace the lost parts with other servers."""
         work = self._work
         work.note_wait(f"lost {[part.server.id for part in lost]}")
         for part in lost:
             self._hold.note_part_lost(part)
         for _ in range(MAX_DETOURS):
-            work.avoided.update(part.server.id for part in lost)  # an unsuccessful move has forgotten them
+            work.avoided.update(part.server.id for part in lost)  # a move that failed has cleared them
             chain = self._hold.find_detour()
             if chain is None:
                 await self._move("no server in place of the lost one", is_gone=False)
--- a/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
@@ -1,7 +1,7 @@
 """One try to get a stream over one chain: reserve, send, relay events, repair the chain when a part of it stalls.
 
-A try whose server may still go on is never ended for another one that is only hoped for: it is kept until a server has
-taken the other.
+A try whose server may still resume is not ended for another one that may fail: it is kept until a server has accepted
+the other.
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
 from vaneturn_node.traffic.serving.repair import ChainRepair, TryOverError
 from vaneturn_node.traffic.serving.requests import RequestInProgress
 
-HEAD_OVERDUE: Final = 0.2  # seconds without the first event; most come in 0.16 s, and should in 0.5 s
-ASK_AGAIN: Final = 0.1  # seconds between questions while nothing comes
-# the same, after a look that says little: the first server was silent once, or a part had just worked for another
-# request, whose loss then showed 0.1 s later in a third of the pauses
+HEAD_OVERDUE: Final = 0.2  # seconds without the first event; most arrive in 0.16 s, and the target is 0.5 s
+ASK_AGAIN: Final = 0.1  # seconds between probes while nothing arrives
+# the same after an inconclusive probe (the first server missed one response, or a part had just worked for another
+# request): with 0.1 s here, the loss was found that much later in a third of the pauses
 ASK_SOON: Final = 0.025
-MOVE_GAP: Final = 0.25  # seconds after a try that was turned away; a server that lacks room rests as long
+MOVE_GAP: Final = 0.25  # seconds after a refused try; the backoff of a server without capacity is as long
 
 T = TypeVar("T")
 
@@ -46,7 +46,7 @@
 
 
 class StreamTry:
-    """One send of a request."""
+    """One send of a streamed request over one chain."""
 
     def __init__(
         self,
@@ -59,11 +59,11 @@
         find_next: FindNext,
         on_taken: OnTaken | None = None,
     ) -> None:
-        """Prepare a send.
+        """Prepare the send.
 
-        :param find_next: prepares another try, paid from the retry budget; none without a chain or budget for it.
-        :param on_taken: called when a server has taken the request; until then this try is in nobody's place, and is
-            over as soon as it cannot go on.
+        :param find_next: prepares another try and takes it from the retry budget; None if it lacks a chain or budget.
+        :param on_taken: called when a server has accepted the request; until then this try replaces no other, and ends
+            as soon as it cannot continue.
         """
         self._parts = parts
         self._work = work
@@ -72,11 +72,11 @@
         self._find_next = find_next
         self._on_taken = on_taken
         self._link: HttpLink | None = None
-        self._events = 0  # that came over this try
-        self._heard_from = float("inf")  # steady time of the first of them
-        self._is_replaced = False  # another try has taken its place
-        self._is_back = False  # it went on while another one opened, which has to end
-        self._moves_from = float("-inf")  # steady time from which another try may be sent
+        self._events = 0  # received over this try
+        self._heard_from = float("inf")  # monotonic time of the first of them
+        self._is_replaced = False  # another try has replaced it
+        self._is_back = False  # it resumed while another try was opening, which has to end
+        self._moves_from = float("-inf")  # monotonic time from which another try may be sent
         self._repair = ChainRepair(parts, work, self._hold, client, self._move)
 
     @property
@@ -90,7 +90,7 @@
         return Suspicion.BEGUN if self._events else Suspicion.UNHEARD
 
     async def run(self) -> TryOutcome | None:
-        """Get the answer over the chain; none when it has ended in full."""
+        """Relay the answer over the chain; return None when it has ended in full."""
         end: TryOutcome | None = MayHaveRun("cancelled")
         try:
             end = await self._converse()
@@ -155,7 +155,7 @@
                 self._note_running()
 
     def _note_running(self) -> None:
-        """Take note that the server has run the request for a while: it does not end servers."""
+        """Record when the server has run the request for long enough to show that it does not crash servers."""
         now = read_clock()
         self._heard_from = min(self._heard_from, now)
         if not self._work.is_sound and now - self._heard_from >= STARTING_TIME:
@@ -163,7 +163,7 @@
             self._parts.crash_watch.note_sound(self._first, self._work.content)
 
     async def _close(self, *, is_whole: bool) -> None:
-        """Give back what was reserved; a server whose answer has not ended stops its work."""
+        """Release what was reserved; a server whose answer is not whole stops its work."""
         if not self._hold.is_taken:
             return
         self._hold.give_back()
@@ -171,7 +171,7 @@
             await self._parts.release(self._link, self._first.address, is_whole=is_whole)
 
     async def _note_lost(self, error: LinkError) -> TryOutcome:
-        """Decide what a lost connection says of the first server, and of the request."""
+        """Record what a lost connection means for the first server and for the request; return the outcome."""
         self._work.avoided.add(self._first.id)
         if not error.is_silence or await self._parts.hears_others({self._first.id}, self._hold.taken_at):
             self._parts.note_lost(self._first.id)
@@ -185,10 +185,10 @@
         return MayHaveRun(f"{error.cause}, after {self._events} events")
 
     async def _wait_for(self, read: Callable[[float], Awaitable[T]], wait: float) -> T:
-        """Wait for the head or for data; while nothing comes, look for the part that is lost.
+        """Wait for the head or for data; while nothing arrives, probe for lost parts.
 
         :raises LinkError: the connection was lost.
-        :raises TryOverError: another try has taken the place of this one, or it cannot go on.
+        :raises TryOverError: another try has replaced this one, or this one cannot continue.
         """
         while True:
             try:
@@ -203,13 +203,13 @@
             wait = ASK_SOON if self._repair.should_look_soon else ASK_AGAIN
 
     async def _move(self, cause: str, *, is_gone: bool) -> None:
-        """Go on with another try, where there is one; this one is kept until a server has taken the other.
+        """Move to another try, if there is one; this one is kept until a server has accepted the other.
 
-        Of 63 streams that were broken off in 12 s, 58 had ended a try that still worked, and then had no budget for
-        the next one.
+        Without this, 58 of 63 streams that were broken off in 12 s had ended a try that still worked, and then had no
+        budget for the next one.
 
-        :param is_gone: whether the run on the first server counts no more.
-        :raises TryOverError: another try has taken the place of this one, or this one cannot go on.
+        :param is_gone: whether the first server is lost, so that the run on it no longer counts.
+        :raises TryOverError: another try has replaced this one, or this one cannot continue.
         """
         if self._on_taken is not None:
             if not is_gone:
@@ -225,7 +225,7 @@
         if read_clock() >= self._moves_from:
             await self._try_next(cause, is_gone=is_gone)
         work.note_wait(f"{cause}; waits")
-        work.avoided.clear()  # those that are lost or full rest; the others may serve by now
+        work.avoided.clear()  # lost and full servers are in backoff; the others may serve by now
 
     async def _try_next(self, cause: str, *, is_gone: bool) -> None:
         work = self._work
@@ -248,12 +248,12 @@
         self._moves_from = read_clock() + MOVE_GAP
 
     async def _watch_return(self, scope: anyio.CancelScope) -> None:
-        """End the next try when this one goes on before a server has taken that."""
-        assert self._link is not None  # noqa: S101 # without one there is no try to keep
+        """End the next try if this one resumes before a server has accepted the next."""
+        assert self._link is not None  # noqa: S101 # a try without a connection is not kept
         try:
             await self._link.wait_for_more(self._work.left)
         except LinkError as error:
-            logger.debug("kept try lost", extra={"cause": error.cause})  # its next read says so as well
+            logger.debug("kept try lost", extra={"cause": error.cause})  # the next read reports it as well
             return
         if not self._is_replaced:
             self._work.note("goes on where it was")
@@ -263,7 +263,7 @@
     async def _give_way(self, *, is_gone: bool) -> None:
         """Leave the request to another try.
 
-        :raises TryOverError: that one comes too late; both were given up when its head came in the turn of the return.
+        :raises TryOverError: this try resumed in the same turn of the event loop; without this check both would end.
         """
         if self._is_back:
             raise TryOverError(MayHaveRun("the one before went on"))
