--- a/tests/node/traffic/serving/test_events.py
+++ b/tests/node/traffic/serving/test_events.py
@@ -1,4 +1,4 @@
-"""Splitting a stream into events: whole ones, however the bytes come."""
+"""A stream is split into complete events, whatever the sizes of the chunks it arrives in."""
 
 from __future__ import annotations
 
--- a/tests/node/traffic/serving/test_streamtry.py
+++ b/tests/node/traffic/serving/test_streamtry.py
@@ -1,7 +1,8 @@
-"""A try gives way to another, or goes on: never both.
+"""A try either resumes or is replaced by the next one, never both.
 
-The head of the next try came in the same turn of the event loop as more of the answer of the one before: that one ended
-the next, and then gave way to it all the same. The steps end with "goes on where it was", and the answer was cut.
+Guards against a race: the head of the next try arrives in the same turn of the event loop as more data of the first
+one. The first try then cancelled the next one and was still replaced by it. The steps in the log ended with "goes on
+where it was", and the answer was cut.
 """
 
 from __future__ import annotations
--- a/tests/node/traffic/test_connection.py
+++ b/tests/node/traffic/test_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection that ends at an awkward moment ends alone."""
+"""A client connection that fails during a write does not affect the rest of the process."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class BrokenStream(SocketStream):
-    """Delivers one request; every write fails, and no read tells so."""
+    """Delivers one request; every write fails, and reads wait without an error."""
 
     def __init__(self) -> None:
         self._left = b"GET /x HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("is_streamed", [True, False])
 async def test_write_that_fails_ends_the_connection_alone(*, is_streamed: bool) -> None:
-    """The failure came as a group of exceptions and ended the whole process."""
+    """An exception group from the failed write must not end the process."""
 
     async def handle(_: ClientRequest, answer: ClientAnswer) -> None:
         if is_streamed:
--- a/tests/system/platform/test_input.py
+++ b/tests/system/platform/test_input.py
@@ -1,4 +1,4 @@
-"""What clients may send: nothing malformed, oversized or smuggled reaches a server."""
+"""Client input: no malformed, oversized or smuggled request reaches a server."""
 
 from __future__ import annotations
 
--- a/tests/system/platform/test_kepttries.py
+++ b/tests/system/platform/test_kepttries.py
@@ -1,10 +1,11 @@
-"""A try that is kept until another is taken has its own ways to go wrong.
-
-Its first server was taken out of its own chain by a detour ("detour over ['i-0004', 'i-0003'] taken"), and its
-connection was pooled under the address of another server, which was then believed to be replaced: all later requests
-were refused.
-Servers once avoided stayed so until the end ("7972ms time is up"), refusals by others used up every send within half a
-second, and a server that was back was not read while the next one held its head for 4 s.
+"""A try is kept until a server has accepted the next one.
+
+These tests guard against faults of such tries:
+- A detour removed the first server from its own chain ("detour over ['i-0004', 'i-0003'] taken"). Its connection was
+  then pooled under the address of another server, which was taken for replaced, so all later requests were refused.
+- Avoided servers stayed avoided until the request timed out ("7972ms time is up").
+- Refusals by other servers used up every send within half a second.
+- A server that was back was not read while the next one held back its head for 4 s.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
 
 
 async def read_end(traffic: Traffic, request: str) -> dict[str, Any]:
-    """Read the line of a request; the node writes it right after the answer's end."""
+    """Read the log line of a request, which the node writes right after the end of the answer."""
     await wait_for(lambda: any(one["request"] == request for one in list_ended(traffic)))
     return next(one for one in list_ended(traffic) if one["request"] == request)
 
@@ -47,7 +48,7 @@
 
 
 async def refuse(exchange: Exchange, run: Run) -> None:
-    """Answer as a first server that has no room."""
+    """Answer as a first server without free capacity."""
     address = exchange.call.headers["host"]
     await exchange.reply(503, {"X-Not-Executed": "1", "At-Server": address, "X-Request-Id": run.request})
 
@@ -57,7 +58,7 @@
 
 
 async def silence_first(traffic: Traffic, servers: list[Server], spoil: Callable[[Exchange, Run], Any]) -> Server:
-    """Let the first server of a stream under way be silent, and the others answer in another way; gives the first."""
+    """Make the first server of a running stream unresponsive and the others use `spoil`; return the first server."""
     await wait_for(lambda: any(len(run.tokens) > 5 for run in traffic.fleet.runs))
     first = first_of(traffic)
     first.is_dark = True
@@ -68,7 +69,7 @@
 
 
 async def test_detour_after_a_silence_keeps_the_first_server(frugal: Traffic) -> None:
-    """The first server and a later part are silent; the first is back sooner."""
+    """The first server and a later part stop responding; the first is back sooner."""
     await frugal.add_chains()
     frugal.fleet.answer_tokens, frugal.fleet.token_time = 60, 0.02
     answers = []
@@ -110,7 +111,7 @@
         await frugal.ask("/letter/1", X_Deadline_Ms="15000", X_Request_Id="detour")
     frugal.fleet.answer_tokens = 5
     wrong = []
-    for server in servers[:2]:  # the first chain; its servers get nothing new
+    for server in servers[:2]:  # the first chain; its servers get no new requests
         server.state = "draining"
         server.announce()
     await anyio.sleep(0.3)
@@ -148,7 +149,7 @@
 
 
 async def test_servers_own_failure_is_given_where_the_first_was_lost(rich: Traffic) -> None:
-    """The first server is lost before it answers, the next one answers with a failure of its own, sealed."""
+    """The first server is lost before it answers; the next one answers with a sealed error of its own."""
     servers = await rich.add_chains()
     rich.fleet.token_time = 0.5
 
@@ -172,7 +173,7 @@
 
 
 async def test_refusing_server_is_asked_again_while_the_first_stays_lost(rich: Traffic) -> None:
-    """The first server is lost but listed; the other chain has no room for a moment."""
+    """The first server is lost but still listed; the other chain has no free capacity for a moment."""
     servers = await rich.add_chains()
     rich.fleet.answer_tokens, rich.fleet.token_time = 30, 0.02
     answers = []
@@ -199,7 +200,7 @@
 
 
 async def test_server_that_is_back_goes_on_while_the_next_one_is_slow(rich: Traffic) -> None:
-    """The first server is silent for 0.6 s; the next one takes its time before it answers."""
+    """The first server is unresponsive for 0.6 s; the next one delays its answer."""
     servers = await rich.add_chains()
     rich.fleet.answer_tokens, rich.fleet.token_time = 60, 0.02
     answers = []
@@ -223,7 +224,7 @@
 
 
 async def test_refusals_of_next_ones_leave_a_send_for_a_first_server_that_then_breaks(rich: Traffic) -> None:
-    """A part is silent; four other halls are full for a moment; then the first server resets, the others are sound."""
+    """The first server is unresponsive while the other halls are full; then it crashes and they have capacity again."""
     servers = await rich.add_chains(halls=("east", "west", "north", "south", "mid", "far"))
     rich.fleet.answer_tokens, rich.fleet.token_time = 60, 0.02
     answers = []
--- a/tests/system/platform/test_plain.py
+++ b/tests/system/platform/test_plain.py
@@ -1,4 +1,4 @@
-"""Requests to plain services: ran or not, at most once, and no bytes of another answer."""
+"""Requests to plain services run at most once where they must, and never get bytes of another answer."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
     first, second = await traffic.add_desk(), await traffic.add_desk()
     first.spoil = second.spoil = fault  # type: ignore[assignment]
     answer = await traffic.ask("/once/1")
-    assert answer.status_code in {502, 504}  # no promise that it has not run
+    assert answer.status_code in {502, 504}  # 503 would promise that it has not run
     assert len(traffic.fleet.runs) == 1
 
 
@@ -102,7 +102,7 @@
 
 async def test_draining_server_gets_no_new_work(traffic: Traffic) -> None:
     leaving, staying = await traffic.add_desk(), await traffic.add_desk()
-    staying.work_time = 0.15  # the other one is chosen as long as it may be
+    staying.work_time = 0.15  # makes the leaving server the preferred one
     for number in range(6):
         await traffic.ask(f"/once/{number}")
     assert traffic.fleet.runs[-1].server == leaving.id
--- a/tests/system/platform/test_soak.py
+++ b/tests/system/platform/test_soak.py
@@ -1,4 +1,4 @@
-"""A short randomised run; `make traffic-soak` runs longer ones under any seeds."""
+"""Short randomised runs with faults; `make traffic-soak` runs longer ones with any seed."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     ("seed", "seconds"),
     [
         (1, SECONDS),
-        (5001, 15),  # copies of a popular request were on both servers that ended within 0.2 s, and all were refused
+        (5001, 15),  # both servers that crashed within 0.2 s ran copies of a popular request; all were refused
     ],
 )
 async def test_requests_that_end_servers_beside_faults_break_no_promise(
--- a/tests/system/platform/test_starting.py
+++ b/tests/system/platform/test_starting.py
@@ -1,11 +1,10 @@
-"""A node that starts while clients are there already, as after a loss of power of all VMs.
-
-A request of the first moment waited for the first reading of the store until 0.6 s after the begin of the process,
-however long it had waited itself, and however well the reading went. On a busy machine a reading of 0.4 s takes longer
-than that, and over 10 Mbit/s the longest value of the store does anywhere; who came late in the 0.6 s hardly waited at
-all. The refusals show it: "first reading under way, 0.61 s after its begin", of a request that had waited for 0.002 to
-0.342 s (6 of 12 runs beside twenty busy processes). Now it waits for as long as its client bears, while the reading is
-under way; a reading ends by itself when nothing arrives.
+"""A node starts while clients already send requests, as after a power loss of all VMs.
+
+While the first reading of the store is in progress, a request waits for it until its own deadline; a reading ends by
+itself when no data arrives. These tests guard against a fixed limit of 0.6 s after the start of the process: a reading
+of 0.4 s takes longer than that on a busy machine, and so does the longest value of the store over 10 Mbit/s, while
+requests that came late in the 0.6 s hardly waited. Beside twenty busy processes, 6 of 12 runs refused requests that had
+waited 0.002 to 0.342 s, with "first reading under way, 0.61 s after its begin".
 """
 
 from __future__ import annotations
@@ -19,12 +18,12 @@
 
 pytestmark = pytest.mark.anyio
 
-READING_TIME = 0.4  # seconds, as of 1 MB over 20 Mbit/s
-LONGEST_READING_TIME = 1.1  # seconds, as of the longest value of the store over 10 Mbit/s
+READING_TIME = 0.4  # seconds, as for 1 MB over 20 Mbit/s
+LONGEST_READING_TIME = 1.1  # seconds, as for the longest value of the store over 10 Mbit/s
 
 
 async def ask_when_it_listens(traffic: Traffic, path: str) -> httpx.Response:
-    """Send a request as soon as the node takes connections."""
+    """Send a request as soon as the node accepts connections."""
     with anyio.fail_after(START_TIME):
         while True:
             try:
@@ -58,7 +57,7 @@
 
 async def test_request_waits_while_a_long_reading_makes_progress(traffic: Traffic) -> None:
     await restart_behind_a_long_reading(traffic)
-    answer = await ask_when_it_listens(traffic, "/check/1")  # its route may be held for longer than that
+    answer = await ask_when_it_listens(traffic, "/check/1")  # its route allows a longer wait than the reading takes
     assert answer.status_code == 200, answer.text
 
 
--- a/tests/system/platform/test_streams.py
+++ b/tests/system/platform/test_streams.py
@@ -1,4 +1,4 @@
-"""A streamed answer over a chain: whole, each layer once, and going on when servers are lost."""
+"""A streamed answer over a chain is complete, runs each layer once, and resumes when servers are lost."""
 
 from __future__ import annotations
 
@@ -94,7 +94,7 @@
 
 
 async def test_part_that_was_refused_is_left_alone_by_the_next_requests(traffic: Traffic) -> None:
-    """Each request found out for itself, and each refusal spent the retry budget."""
+    """Without shared knowledge of the refusal, each request was refused as well and spent retry budget."""
     servers = await traffic.add_chains()
     gone = next(server for server in servers if server.hall == "east" and server.held and server.held[0] > 0)
     gone.held = (0, 1)  # the list still says what it held before
@@ -105,7 +105,7 @@
 
 
 async def test_stream_that_must_not_run_twice_waits_for_a_server_in_place_of_a_lost_one(traffic: Traffic) -> None:
-    """It was broken off at once, though its first server still waited and another took the layers soon after."""
+    """Breaking it off at once is wrong: its first server still waits, and another one takes the layers soon."""
     servers = await traffic.add_chains(halls=("east",))
     traffic.fleet.answer_tokens = 40
     traffic.fleet.token_time = 0.03
@@ -134,7 +134,7 @@
 async def test_stream_that_must_not_run_twice_is_not_called_not_run_when_its_server_falls_silent(
     traffic: Traffic,
 ) -> None:
-    """A run on a lost server does not count as an attempt; it was taken for one that never was."""
+    """A run on a lost server does not count as an attempt, but the answer must not say that it never happened."""
     servers = await traffic.add_chains()
     traffic.fleet.token_time = 1.0  # the first event is not there yet
     async with anyio.create_task_group() as tasks:
