--- a/packages/node/src/vaneturn_node/traffic/serving/answering.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/answering.py
@@ -27,9 +27,9 @@
 from vaneturn_node.traffic.serving.requests import RequestInProgress
 from vaneturn_node.traffic.serving.streams import StreamForwarder
 
-NO_CONFIGURATION_RETRY: Final = 0.3  # seconds; a node reads its configuration within a second of its start
+NO_CONFIGURATION_RETRY_S: Final = 0.3  # a node reads its configuration within a second of its start
 NO_PAUSE: Final = Pause(0.0, 0.0)
-OLD_KEYS_RETRY: Final = 0.2  # seconds; short, since other nodes may reach the store
+OLD_KEYS_RETRY_S: Final = 0.2  # short, since other nodes may reach the store
 
 logger = logging.getLogger(__name__)
 
@@ -72,15 +72,15 @@
         """Find the route and the customer of a request in the configuration in force, or refuse the request."""
         configuration = self._parts.view.configuration
         if configuration is None:
-            return refuse(Reason.NO_CONFIGURATION, NO_CONFIGURATION_RETRY, self._parts.first_reading.describe())
+            return refuse(Reason.NO_CONFIGURATION, NO_CONFIGURATION_RETRY_S, self._parts.first_reading.describe())
         route = configuration.find_route(facts.host, request.path)
         are_valid = self._parts.view.are_keys_valid()
         if route is None:
-            return OwnAnswer(404, Reason.NO_ROUTE) if are_valid else refuse(Reason.KEYS_TOO_OLD, OLD_KEYS_RETRY)
+            return OwnAnswer(404, Reason.NO_ROUTE) if are_valid else refuse(Reason.KEYS_TOO_OLD, OLD_KEYS_RETRY_S)
         customer = configuration.customers.get(facts.key) if facts.key is not None else None
         if not route.is_public and configuration.needs_keys:
             if not are_valid:
-                return refuse(Reason.KEYS_TOO_OLD, OLD_KEYS_RETRY)
+                return refuse(Reason.KEYS_TOO_OLD, OLD_KEYS_RETRY_S)
             if customer is None:
                 return OwnAnswer(401, Reason.NO_KEY if facts.key is None else Reason.UNKNOWN_KEY)
         return RequestInProgress(
@@ -106,7 +106,7 @@
     async def _forward_in_time(self, work: RequestInProgress, answer: ClientAnswer) -> Answered | OwnAnswer | None:
         """Forward a request; at its deadline, give the final answer, or break off an answer that has begun."""
         if work.left <= 0:  # it expired while waiting for the first configuration
-            return refuse(Reason.TIMEOUT, OLD_KEYS_RETRY)
+            return refuse(Reason.TIMEOUT, OLD_KEYS_RETRY_S)
         result: Answered | OwnAnswer | None = None
         with anyio.move_on_after(work.left) as scope:
             self._open[scope] = work
@@ -123,7 +123,7 @@
             return None
         if work.sends:
             return OwnAnswer(504, Reason.TIMEOUT)
-        return refuse(Reason.TIMEOUT, OLD_KEYS_RETRY)
+        return refuse(Reason.TIMEOUT, OLD_KEYS_RETRY_S)
 
     def _end_barred(self) -> None:
         """Cancel barred requests that still wait for their first event, before their servers run them and crash."""
--- a/packages/node/src/vaneturn_node/traffic/serving/heads.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/heads.py
@@ -12,8 +12,8 @@
 from vaneturn_node.traffic.serving.outcomes import Answered, MayHaveRun, NotRun, TryOutcome
 from vaneturn_node.traffic.serving.requests import RequestInProgress
 
-SUCCESS: Final = range(200, 300)
-REST_TIME: Final = 0.05  # minimum seconds for reading the body of an answer that is no success
+SUCCESS_STATUSES: Final = range(200, 300)
+MIN_BODY_TIMEOUT_S: Final = 0.05  # for the body of an answer that is no success
 
 
 async def take_head(
@@ -32,7 +32,7 @@
         raise LinkError("answer to another request", was_sent=True)
     if not facts.is_wrong_server:
         parts.directives.take(hold.first, facts.directives, hold.sent_at)
-    if head.status not in SUCCESS:
+    if head.status not in SUCCESS_STATUSES:
         return await _take_failure(parts, work, hold, link, head)
     if not facts.is_sealed:
         raise LinkError("unsealed answer", was_sent=True)
@@ -46,7 +46,7 @@
 ) -> TryOutcome:
     """Read an answer that is no success; return the outcome of the try."""
     body = []
-    while (data := await link.read_data(max(REST_TIME, work.left))) is not None:
+    while (data := await link.read_data(max(MIN_BODY_TIMEOUT_S, work.left))) is not None:
         body.append(data)
     facts = read_answer_facts(head.status, head.headers)
     if facts.was_refused:
--- a/packages/node/src/vaneturn_node/traffic/serving/metrics.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/metrics.py
@@ -10,7 +10,7 @@
 BUCKETS: Final = (0.025, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0)  # seconds, upper bounds
 MAX_ROUTES: Final = 32  # labels; further routes share one
 MAX_CUSTOMERS: Final = 64
-OTHER: Final = "other"
+OTHER_LABEL: Final = "other"
 
 
 @dataclass(slots=True)
@@ -41,7 +41,7 @@
 
 def _bound(label: str, known: set[str], most: int) -> str:
     if label not in known and len(known) >= most:
-        return OTHER
+        return OTHER_LABEL
     known.add(label)
     return label
 
--- a/packages/node/src/vaneturn_node/traffic/serving/plain.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/plain.py
@@ -19,13 +19,13 @@
 from vaneturn_node.traffic.serving.requests import RequestInProgress
 
 MAX_SENDS: Final = 3  # of one request, including those that servers refused
-FIRST_TRY_SHARE: Final = 0.6  # of the objective; after it, a safe request goes to a second server
-FIRST_TRY_LEFT: Final = 0.4  # of the time left; used if it is longer
-FIRST_LATENCY: Final = 0.05  # seconds, assumed for a server without an answer yet; most answer in 0.05 to 0.1 s
-UNSAFE_IDLE: Final = 1.0  # seconds that a pooled connection may be idle to carry a request that must not run twice
-RETRY_AFTER: Final = 0.15  # seconds, plus random jitter of up to as much
-SERVER_FAULT: Final = 500
-LOAD_MEMORY: Final = 1.0  # seconds for which a reported load counts
+FIRST_TRY_OBJECTIVE_SHARE: Final = 0.6  # after this time, a safe request goes to a second server
+FIRST_TRY_TIME_LEFT_SHARE: Final = 0.4  # used if it is longer
+ASSUMED_LATENCY_S: Final = 0.05  # of a server without an answer yet; most answer in 0.05 to 0.1 s
+UNSAFE_IDLE_LIMIT_S: Final = 1.0  # of a pooled connection that is to carry a request that must not run twice
+RETRY_AFTER_S: Final = 0.15  # plus random jitter of up to as much
+MIN_SERVER_ERROR_STATUS: Final = 500
+REPORTED_LOAD_TTL_S: Final = 1.0
 
 
 class PlainForwarder:
@@ -55,7 +55,7 @@
             last = await self._try(work, server)
             if isinstance(last, Answered):
                 self._parts.crash_watch.note_sound(server, work.content)
-                if last.status < SERVER_FAULT or not work.may_run_again:
+                if last.status < MIN_SERVER_ERROR_STATUS or not work.may_run_again:
                     return last
                 failure = last
             elif isinstance(last, MayHaveRun) and not work.may_run_again:
@@ -69,7 +69,7 @@
         if work.may_have_run:
             return work.give_up_run(last.cause if isinstance(last, MayHaveRun | NotRun) else "")
         wait = self._parts.compute_wait(work.service)
-        retry_after = wait + RETRY_AFTER * (1 + random.random())
+        retry_after = wait + RETRY_AFTER_S * (1 + random.random())
         if not work.may_send():
             return refuse(Reason.KEYS_TOO_OLD, retry_after)
         if isinstance(last, NotRun):
@@ -86,9 +86,9 @@
 
     def _estimate_wait(self, server: BackendServer) -> float:
         belief = self._parts.beliefs[server.id]
-        others = belief.told_load if read_clock() - belief.told_at < LOAD_MEMORY else 0
+        others = belief.told_load if read_clock() - belief.told_at < REPORTED_LOAD_TTL_S else 0
         busy = max(belief.in_progress, others)
-        return (belief.latency or FIRST_LATENCY) * (1 + busy / max(1, server.slots))
+        return (belief.latency or ASSUMED_LATENCY_S) * (1 + busy / max(1, server.slots))
 
     async def _try(self, work: RequestInProgress, server: BackendServer) -> TryOutcome:
         belief = self._parts.beliefs[server.id]
@@ -104,7 +104,7 @@
         seconds = read_clock() - started
         if isinstance(outcome, Answered):
             work.note(f"{server.id} answered {outcome.status}")
-            if outcome.status >= SERVER_FAULT:
+            if outcome.status >= MIN_SERVER_ERROR_STATUS:
                 belief.record_error(read_clock())
             else:
                 belief.record_success(seconds)
@@ -119,7 +119,9 @@
     def _limit_try(self, work: RequestInProgress) -> float:
         """Compute the timeout of a try in seconds; that of a safe request leaves time for a second try."""
         if work.route.repeatability is Repeatability.SAFE and work.runs + 1 < work.route.max_attempts:
-            return min(work.left, max(FIRST_TRY_SHARE * work.route.objective, FIRST_TRY_LEFT * work.left))
+            return min(
+                work.left, max(FIRST_TRY_OBJECTIVE_SHARE * work.route.objective, FIRST_TRY_TIME_LEFT_SHARE * work.left)
+            )
         return work.left
 
     async def _exchange(self, work: RequestInProgress, server: BackendServer, limit: float) -> TryOutcome:
@@ -127,7 +129,7 @@
         is_whole = False
         try:
             with anyio.fail_after(limit):
-                longest = ANY_IDLE_TIME if work.route.may_repeat else UNSAFE_IDLE
+                longest = ANY_IDLE_TIME if work.route.may_repeat else UNSAFE_IDLE_LIMIT_S
                 link = await self._parts.pool.take(server.address, longest)
                 obstacle = work.find_obstacle(self._parts.beliefs[server.id])
                 if obstacle is not None:
--- a/packages/node/src/vaneturn_node/traffic/serving/requests.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/requests.py
@@ -21,7 +21,7 @@
 from vaneturn_node.platform.headers import Dispatch, RequestFacts
 from vaneturn_node.traffic.serving.outcomes import OwnAnswer, Reason
 
-ANSWER_MARGIN: Final = 0.03  # seconds before its deadline at which a request is given up, so the answer arrives in time
+ANSWER_MARGIN_S: Final = 0.03  # a request is given up that long before its deadline, so that the answer arrives in time
 MOST_URGENT: Final = 0
 LEAST_URGENT: Final = 9
 
@@ -81,7 +81,7 @@
         allowed = self.route.timeout
         if self.facts.deadline is not None:
             allowed = min(allowed, self.facts.deadline)
-        return self.request.arrived + allowed - ANSWER_MARGIN
+        return self.request.arrived + allowed - ANSWER_MARGIN_S
 
     @property
     def left(self) -> float:
--- a/packages/node/src/vaneturn_node/traffic/serving/streams.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streams.py
@@ -20,11 +20,11 @@
 
 MAX_SENDS: Final = 5  # of one request, including those that servers refused
 MAX_REFUSALS: Final = 3  # by servers without free capacity, before the request is refused
-RETRY_AFTER: Final = 0.3  # seconds, plus random jitter of up to as much; some answers end in that time
-# seconds, lower and upper bound of a random time: a hall has all layers again after one or two loads of layers, each of
+RETRY_AFTER_S: Final = 0.3  # plus random jitter of up to as much; some answers end in that time
+# lower and upper bound of a random time: a hall has all layers again after one or two loads of layers, each of
 # 1.6 to 5 s, and the refused clients should not all return at once
-CROSSINGS_RETRY: Final = (1.0, 4.0)
-RETURN_WAIT: Final = 0.2  # seconds between searches for a chain that can resume a begun answer
+CROSSINGS_RETRY_S: Final = (1.0, 4.0)
+CHAIN_SEARCH_INTERVAL_S: Final = 0.2  # between searches for a chain that can resume a begun answer
 
 
 class Lack(Enum):
@@ -63,7 +63,7 @@
             prepared = self._prepare(work, engine, client)
             if prepared in {Lack.CHAIN, Lack.CROSSING} and client.is_begun:
                 work.note_wait("no chain")
-                await anyio.sleep(RETURN_WAIT)
+                await anyio.sleep(CHAIN_SEARCH_INTERVAL_S)
                 work.avoided.clear()  # lost servers are in backoff, and those that are back may serve
                 continue
             if not isinstance(prepared, StreamTry):
@@ -132,7 +132,7 @@
         self, work: RequestInProgress, client: ClientStream, end: TryOutcome | None, lack: Lack | None = None
     ) -> OwnAnswer | None:
         if end is None and lack is Lack.CROSSING and work.may_send():
-            return refuse(Reason.CROSSINGS_FULL, random.uniform(*CROSSINGS_RETRY))
+            return refuse(Reason.CROSSINGS_FULL, random.uniform(*CROSSINGS_RETRY_S))
         if client.is_begun:
             work.note("answer broken off")
             return None
@@ -140,7 +140,7 @@
         if work.may_have_run:
             return work.give_up_run(cause)
         wait = self._parts.compute_wait(work.service)
-        retry_after = wait + RETRY_AFTER * (1 + random.random())
+        retry_after = wait + RETRY_AFTER_S * (1 + random.random())
         if not work.may_send():
             return refuse(Reason.KEYS_TOO_OLD, retry_after, cause)
         if wait:
--- a/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
@@ -30,12 +30,12 @@
 from vaneturn_node.traffic.serving.repair import ChainRepair, TryOverError
 from vaneturn_node.traffic.serving.requests import RequestInProgress
 
-HEAD_OVERDUE: Final = 0.2  # seconds without the first event; most arrive in 0.16 s, and the target is 0.5 s
-ASK_AGAIN: Final = 0.1  # seconds between probes while nothing arrives
+HEAD_PROBE_DELAY_S: Final = 0.2  # without the first event; most arrive in 0.16 s, and the target is 0.5 s
+PROBE_INTERVAL_S: Final = 0.1  # between probes while nothing arrives
 # the same after an inconclusive probe (the first server missed one response, or a part had just worked for another
 # request): with 0.1 s here, the loss was found that much later in a third of the pauses
-ASK_SOON: Final = 0.025
-MOVE_GAP: Final = 0.25  # seconds after a refused try; the backoff of a server without capacity is as long
+SHORT_PROBE_INTERVAL_S: Final = 0.025
+MOVE_BACKOFF_S: Final = 0.25  # after a refused try; the backoff of a server without capacity is as long
 
 T = TypeVar("T")
 
@@ -127,7 +127,7 @@
         headers = build_server_headers(work.request.headers, dispatch)
         self._hold.sent_at = read_clock()
         await link.send(work.request.method, work.request.target, headers, work.request.body, work.left)
-        head = await self._wait_for(link.read_head, HEAD_OVERDUE)
+        head = await self._wait_for(link.read_head, HEAD_PROBE_DELAY_S)
         failure = await take_head(self._parts, work, self._hold, link, head)
         if failure is not None:
             return failure
@@ -200,7 +200,7 @@
                 self._hold.count_run()
                 raise TryOverError(MayHaveRun("time is up"))
             await self._repair.look_for_loss()
-            wait = ASK_SOON if self._repair.should_look_soon else ASK_AGAIN
+            wait = SHORT_PROBE_INTERVAL_S if self._repair.should_look_soon else PROBE_INTERVAL_S
 
     async def _move(self, cause: str, *, is_gone: bool) -> None:
         """Move to another try, if there is one; this one is kept until a server has accepted the other.
@@ -245,7 +245,7 @@
             await self._give_way(is_gone=is_gone)
         if self._is_replaced:
             raise TryOverError(end)
-        self._moves_from = read_clock() + MOVE_GAP
+        self._moves_from = read_clock() + MOVE_BACKOFF_S
 
     async def _watch_return(self, scope: anyio.CancelScope) -> None:
         """End the next try if this one resumes before a server has accepted the next."""
--- a/tests/rig/ablation.py
+++ b/tests/rig/ablation.py
@@ -107,8 +107,8 @@
         (
             Edit(
                 f"{TRAFFIC}/serving/plain.py",
-                "if last.status < SERVER_FAULT or not work.may_run_again:",
-                "if last.status < SERVER_FAULT or work.runs:",
+                "if last.status < MIN_SERVER_ERROR_STATUS or not work.may_run_again:",
+                "if last.status < MIN_SERVER_ERROR_STATUS or work.runs:",
             ),
             Edit(
                 f"{TRAFFIC}/serving/plain.py",
