--- a/packages/node/src/vaneturn_node/traffic/serving/answering.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/answering.py
@@ -24,7 +24,7 @@
 from vaneturn_node.traffic.serving.metrics import TrafficMetrics
 from vaneturn_node.traffic.serving.outcomes import Answered, OwnAnswer, Reason, refuse
 from vaneturn_node.traffic.serving.plain import PlainForwarder
-from vaneturn_node.traffic.serving.requests import RequestInProgress
+from vaneturn_node.traffic.serving.requests import RequestContext
 from vaneturn_node.traffic.serving.streams import StreamForwarder
 
 NO_CONFIGURATION_RETRY_S: Final = 0.3  # a node reads its configuration within a second of its start
@@ -43,14 +43,14 @@
         self._metrics = metrics
         self._plain = PlainForwarder(parts)
         self._streams = StreamForwarder(parts)
-        self._open: dict[CancelScope, RequestInProgress] = {}
+        self._open: dict[CancelScope, RequestContext] = {}
         self.in_progress = 0
         parts.crashes.listeners.append(self._end_barred)
 
     async def answer(self, request: ClientRequest, answer: ClientAnswer) -> None:
         """Admit and forward one request, write its answer and log its outcome."""
         facts = read_request_facts(request.headers)
-        work: RequestInProgress | None = None
+        context: RequestContext | None = None
         result: Answered | OwnAnswer | None = None
         ending = "client left"
         self.in_progress += 1
@@ -61,14 +61,14 @@
             if isinstance(admitted, OwnAnswer):
                 result = admitted
             else:
-                work = admitted
-                result = await self._forward_in_time(work, answer)
+                context = admitted
+                result = await self._forward_in_time(context, answer)
             ending = await self._finish(result, answer)
         finally:
             self.in_progress -= 1
-            self._log(request, facts, work, result, ending)
+            self._log(request, facts, context, result, ending)
 
-    def _admit(self, request: ClientRequest, facts: RequestFacts) -> RequestInProgress | OwnAnswer:
+    def _admit(self, request: ClientRequest, facts: RequestFacts) -> RequestContext | OwnAnswer:
         """Find the route and the customer of a request in the configuration in force, or refuse the request."""
         configuration = self._parts.view.configuration
         if configuration is None:
@@ -83,7 +83,7 @@
                 return refuse(Reason.KEYS_TOO_OLD, OLD_KEYS_RETRY_S)
             if customer is None:
                 return OwnAnswer(401, Reason.NO_KEY if facts.key is None else Reason.UNKNOWN_KEY)
-        return RequestInProgress(
+        return RequestContext(
             request=request,
             facts=facts,
             route=route,
@@ -103,32 +103,32 @@
         now = configuration.customers.get(facts.key)
         return now is not None and now.name == customer.name
 
-    async def _forward_in_time(self, work: RequestInProgress, answer: ClientAnswer) -> Answered | OwnAnswer | None:
+    async def _forward_in_time(self, context: RequestContext, answer: ClientAnswer) -> Answered | OwnAnswer | None:
         """Forward a request; at its deadline, give the final answer, or break off an answer that has begun."""
-        if work.left <= 0:  # it expired while waiting for the first configuration
+        if context.left <= 0:  # it expired while waiting for the first configuration
             return refuse(Reason.TIMEOUT, OLD_KEYS_RETRY_S)
         result: Answered | OwnAnswer | None = None
-        with anyio.move_on_after(work.left) as scope:
-            self._open[scope] = work
+        with anyio.move_on_after(context.left) as scope:
+            self._open[scope] = context
             try:
-                result = await self._forward(work, answer)
+                result = await self._forward(context, answer)
             finally:
                 del self._open[scope]
-        if not isinstance(result, Answered) and not answer.is_begun and work.is_barred:
-            return work.bar()
+        if not isinstance(result, Answered) and not answer.is_begun and context.is_barred:
+            return context.bar()
         if not scope.cancelled_caught:
             return result
-        work.note("time is up")
+        context.note("time is up")
         if answer.is_begun:
             return None
-        if work.sends:
+        if context.sends:
             return OwnAnswer(504, Reason.TIMEOUT)
         return refuse(Reason.TIMEOUT, OLD_KEYS_RETRY_S)
 
     def _end_barred(self) -> None:
         """Cancel barred requests that still wait for their first event, before their servers run them and crash."""
-        for scope, work in self._open.items():
-            if work.sends and not work.events and work.is_barred:
+        for scope, context in self._open.items():
+            if context.sends and not context.events and context.is_barred:
                 scope.cancel()
 
     def note_suspended(self, seconds: float) -> None:
@@ -136,12 +136,12 @@
         for scope in self._open:
             scope.deadline -= seconds
 
-    async def _forward(self, work: RequestInProgress, answer: ClientAnswer) -> Answered | OwnAnswer | None:
+    async def _forward(self, context: RequestContext, answer: ClientAnswer) -> Answered | OwnAnswer | None:
         configuration = self._parts.view.configuration
-        engine = _find_engine(configuration, work.service)
+        engine = _find_engine(configuration, context.service)
         if engine is not None:
-            return await self._streams.forward(work, engine, answer)
-        return await self._plain.forward(work)
+            return await self._streams.forward(context, engine, answer)
+        return await self._plain.forward(context)
 
     async def _finish(self, result: Answered | OwnAnswer | None, answer: ClientAnswer) -> str:
         """Write an answer that was not relayed; return how the request ended, for the log."""
@@ -163,16 +163,16 @@
         self,
         request: ClientRequest,
         facts: RequestFacts,
-        work: RequestInProgress | None,
+        context: RequestContext | None,
         result: Answered | OwnAnswer | None,
         ending: str,
     ) -> None:
         seconds = read_clock() - request.arrived
-        route = work.route.name if work is not None else ""
-        customer = work.customer.name if work is not None and work.customer is not None else ""
+        route = context.route.name if context is not None else ""
+        customer = context.customer.name if context is not None and context.customer is not None else ""
         self._metrics.observe(route, customer, ending, seconds)
         configuration = self._parts.view.configuration
-        pause = (work.longest_pause if work is not None else None) or NO_PAUSE
+        pause = (context.longest_pause if context is not None else None) or NO_PAUSE
         ended = TrafficRequest(
             request=facts.id,
             route=route,
@@ -181,16 +181,16 @@
             seconds=round(seconds, 3),
             version=configuration.version if configuration is not None else None,
             age=round(self._parts.view.told_age, 3),
-            steps=work.steps if work is not None else [],
+            steps=context.steps if context is not None else [],
             reason=result.reason.value if isinstance(result, OwnAnswer) else "",
             cause=result.cause if isinstance(result, OwnAnswer) else "",
-            events=work.events if work is not None else 0,
-            first_event=round(work.first_event, 3) if work is not None else 0.0,
+            events=context.events if context is not None else 0,
+            first_event=round(context.first_event, 3) if context is not None else 0.0,
             longest_pause=round(pause.length, 3),
             looked=round(pause.looked, 3),
             found=round(pause.found, 3),
             went_on=round(pause.went_on, 3),
-            content=format_content(work.content) if work is not None else "",
+            content=format_content(context.content) if context is not None else "",
         )
         self._ended.add(facts.id, ended)
         logger.info("request ended", extra=msgspec.structs.asdict(ended))
--- a/packages/node/src/vaneturn_node/traffic/serving/chainhold.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/chainhold.py
@@ -9,15 +9,15 @@
 from vaneturn_node.platform.headers import AnswerFacts
 from vaneturn_node.platform.servers import OrderOutcome
 from vaneturn_node.traffic.servers.exchange import TrafficParts
-from vaneturn_node.traffic.serving.requests import RequestInProgress
+from vaneturn_node.traffic.serving.requests import RequestContext
 
 
 class ChainHold:
     """The chain of a try, which a detour may change; it counts as load on its servers while it is reserved."""
 
-    def __init__(self, parts: TrafficParts, work: RequestInProgress, chooser: ChainChooser, chain: Chain) -> None:
+    def __init__(self, parts: TrafficParts, context: RequestContext, chooser: ChainChooser, chain: Chain) -> None:
         self._parts = parts
-        self._work = work
+        self._context = context
         self._chooser = chooser
         self.chain = chain
         self.is_taken = False
@@ -35,7 +35,7 @@
         self.is_taken = True
         self.taken_at = read_clock()
         over = " ".join(f"{part.server.id}[{part.first},{part.end})" for part in self.chain.parts)
-        self._work.note(f"over {over}, fullest {self._chooser.estimate_fullness(self.chain):.2f}")
+        self._context.note(f"over {over}, fullest {self._chooser.estimate_fullness(self.chain):.2f}")
         self._reserve(1)
 
     def give_back(self) -> None:
@@ -47,32 +47,32 @@
         """Count that the request may have run on the first server, at most once per try."""
         if not self.is_counted:
             self.is_counted = True
-            self._work.runs += 1
+            self._context.runs += 1
 
     def uncount_run(self) -> None:
         """Undo the count of the run: runs on servers that are gone do not count."""
         if self.is_counted:
             self.is_counted = False
-            self._work.runs -= 1
+            self._context.runs -= 1
 
     def note_heard(self) -> None:
         """Record that every part of the chain has just worked."""
         now = read_clock()
         for part in self.chain.parts:
             self._parts.beliefs[part.server.id].record_token(now)
-            self._work.avoided.discard(part.server.id)
-        self._work.waits.clear()
+            self._context.avoided.discard(part.server.id)
+        self._context.waits.clear()
 
     def note_part_lost(self, part: Part) -> None:
         """Record the loss of a part, once while it is unresponsive."""
-        if part.server.id not in self._work.avoided:
-            self._work.avoided.add(part.server.id)
+        if part.server.id not in self._context.avoided:
+            self._context.avoided.add(part.server.id)
             self._parts.note_lost(part.server.id)
 
     def note_refusal(self, facts: AnswerFacts) -> BackendServer:
         """Record a refusal; return the server at fault, which is the first one unless the refusal names another."""
         faulty = self.first if facts.faulty is None else self._find_server(facts.faulty)
-        self._work.avoided.add(faulty.id)
+        self._context.avoided.add(faulty.id)
         if facts.is_wrong_server and facts.faulty is None:
             self._parts.beliefs[faulty.id].is_replaced = True
         elif facts.faulty is not None:  # down, without the layers, or full: spares later requests the same refusal
@@ -85,7 +85,7 @@
 
         The first part stays, since its server sends the answer.
         """
-        choosable = self._parts.list_choosable(self._work.service, self._work.avoided)
+        choosable = self._parts.list_choosable(self._context.service, self._context.avoided)
         kept = [part for part in self.chain.parts if part is self.chain.parts[0] or not self._is_avoided(part)]
         parts: list[Part] = []
         for part in self.chain.parts:
@@ -101,20 +101,20 @@
 
     async def order_detour(self, chain: Chain) -> OrderOutcome:
         """Order the first server to run the rest of the request over another chain."""
-        assert self._work.facts.id is not None  # noqa: S101 # a request without an id is not admitted
-        outcome = await self._parts.calls.replace_parts(self.first, self._work.facts.id, list(chain.parts))
+        assert self._context.facts.id is not None  # noqa: S101 # a request without an id is not admitted
+        outcome = await self._parts.calls.replace_parts(self.first, self._context.facts.id, list(chain.parts))
         added = [part.server.id for part in chain.parts if part not in self.chain.parts]
-        self._work.note(f"detour over {added} {outcome.value}")
+        self._context.note(f"detour over {added} {outcome.value}")
         if outcome is OrderOutcome.TAKEN:
             self._reserve(-1)
             self.chain = chain
             self._reserve(1)
         elif outcome is OrderOutcome.CONFLICT:  # one of them has no free capacity, or no longer holds its part
-            self._work.avoided.update(added)
+            self._context.avoided.update(added)
         return outcome
 
     def _is_avoided(self, part: Part) -> bool:
-        return part.server.id in self._work.avoided
+        return part.server.id in self._context.avoided
 
     def _reserve(self, sign: int) -> None:
         for part in self.chain.parts:
--- a/packages/node/src/vaneturn_node/traffic/serving/heads.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/heads.py
@@ -10,14 +10,14 @@
 from vaneturn_node.traffic.servers.exchange import TrafficParts
 from vaneturn_node.traffic.serving.chainhold import ChainHold
 from vaneturn_node.traffic.serving.outcomes import Answered, MayHaveRun, NotRun, TryOutcome
-from vaneturn_node.traffic.serving.requests import RequestInProgress
+from vaneturn_node.traffic.serving.requests import RequestContext
 
 SUCCESS_STATUSES: Final = range(200, 300)
 MIN_BODY_TIMEOUT_S: Final = 0.05  # for the body of an answer that is no success
 
 
 async def take_head(
-    parts: TrafficParts, work: RequestInProgress, hold: ChainHold, link: HttpLink, head: AnswerHead
+    parts: TrafficParts, context: RequestContext, hold: ChainHold, link: HttpLink, head: AnswerHead
 ) -> TryOutcome | None:
     """Handle the head of an answer; return the outcome of the try if it is no success.
 
@@ -28,12 +28,12 @@
     now = read_clock()
     if facts.load is not None:
         belief.take_load(facts.load[0] + facts.load[1], now)
-    if facts.id is not None and facts.id != work.facts.id:
+    if facts.id is not None and facts.id != context.facts.id:
         raise LinkError("answer to another request", was_sent=True)
     if not facts.is_wrong_server:
         parts.directives.take(hold.first, facts.directives, hold.sent_at)
     if head.status not in SUCCESS_STATUSES:
-        return await _take_failure(parts, work, hold, link, head)
+        return await _take_failure(parts, context, hold, link, head)
     if not facts.is_sealed:
         raise LinkError("unsealed answer", was_sent=True)
     hold.count_run()
@@ -42,17 +42,17 @@
 
 
 async def _take_failure(
-    parts: TrafficParts, work: RequestInProgress, hold: ChainHold, link: HttpLink, head: AnswerHead
+    parts: TrafficParts, context: RequestContext, hold: ChainHold, link: HttpLink, head: AnswerHead
 ) -> TryOutcome:
     """Read an answer that is no success; return the outcome of the try."""
     body = []
-    while (data := await link.read_data(max(MIN_BODY_TIMEOUT_S, work.left))) is not None:
+    while (data := await link.read_data(max(MIN_BODY_TIMEOUT_S, context.left))) is not None:
         body.append(data)
     facts = read_answer_facts(head.status, head.headers)
     if facts.was_refused:
         return NotRun(f"refused with {head.status} at {hold.note_refusal(facts).id}")
     hold.count_run()
-    work.avoided.add(hold.first.id)
+    context.avoided.add(hold.first.id)
     parts.beliefs[hold.first.id].record_error(read_clock())
     if facts.is_sealed:
         return Answered(head.status, head.headers, b"".join(body))
--- a/packages/node/src/vaneturn_node/traffic/serving/plain.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/plain.py
@@ -16,7 +16,7 @@
 from vaneturn_node.platform.headers import build_server_headers, read_answer_facts
 from vaneturn_node.traffic.servers.exchange import TrafficParts
 from vaneturn_node.traffic.serving.outcomes import Answered, MayHaveRun, NotRun, OwnAnswer, Reason, TryOutcome, refuse
-from vaneturn_node.traffic.serving.requests import RequestInProgress
+from vaneturn_node.traffic.serving.requests import RequestContext
 
 MAX_SENDS: Final = 3  # of one request, including those that servers refused
 FIRST_TRY_OBJECTIVE_SHARE: Final = 0.6  # after this time, a safe request goes to a second server
@@ -34,51 +34,51 @@
     def __init__(self, parts: TrafficParts) -> None:
         self._parts = parts
 
-    async def forward(self, work: RequestInProgress) -> Answered | OwnAnswer:
+    async def forward(self, context: RequestContext) -> Answered | OwnAnswer:
         """Return the answer of a server, or one of this node if no server gave one."""
-        budget = self._parts.find_budget(work.service)
+        budget = self._parts.find_budget(context.service)
         last: TryOutcome | None = None
         failure: Answered | None = None  # a server's error answer, returned if no other server gives a better one
-        while work.sends < MAX_SENDS and work.left > 0:
-            server = self._choose(work)
-            if server is None or not work.may_send():
+        while context.sends < MAX_SENDS and context.left > 0:
+            server = self._choose(context)
+            if server is None or not context.may_send():
                 break
-            if work.sends and not budget.spend():
-                work.note("retry budget used up")
+            if context.sends and not budget.spend():
+                context.note("retry budget used up")
                 break
-            if not work.sends:
+            if not context.sends:
                 budget.record_first()
             if not await self._parts.permits.obtain(server.id):
-                budget.take_back(is_first=not work.sends)
-                work.note(f"{server.id} has no room by its rate limit")
+                budget.take_back(is_first=not context.sends)
+                context.note(f"{server.id} has no room by its rate limit")
                 continue
-            last = await self._try(work, server)
+            last = await self._try(context, server)
             if isinstance(last, Answered):
-                self._parts.crash_watch.note_sound(server, work.content)
-                if last.status < MIN_SERVER_ERROR_STATUS or not work.may_run_again:
+                self._parts.crash_watch.note_sound(server, context.content)
+                if last.status < MIN_SERVER_ERROR_STATUS or not context.may_run_again:
                     return last
                 failure = last
-            elif isinstance(last, MayHaveRun) and not work.may_run_again:
+            elif isinstance(last, MayHaveRun) and not context.may_run_again:
                 break
-            work.avoided.add(server.id)
+            context.avoided.add(server.id)
         if failure is not None:
             return failure
-        return self._give_up(work, last)
+        return self._give_up(context, last)
 
-    def _give_up(self, work: RequestInProgress, last: TryOutcome | None) -> OwnAnswer:
-        if work.may_have_run:
-            return work.give_up_run(last.cause if isinstance(last, MayHaveRun | NotRun) else "")
-        wait = self._parts.compute_wait(work.service)
+    def _give_up(self, context: RequestContext, last: TryOutcome | None) -> OwnAnswer:
+        if context.may_have_run:
+            return context.give_up_run(last.cause if isinstance(last, MayHaveRun | NotRun) else "")
+        wait = self._parts.compute_wait(context.service)
         retry_after = wait + RETRY_AFTER_S * (1 + random.random())
-        if not work.may_send():
+        if not context.may_send():
             return refuse(Reason.KEYS_TOO_OLD, retry_after)
         if isinstance(last, NotRun):
             return refuse(Reason.NOT_RUN, retry_after, last.cause)
         return refuse(Reason.SERVERS_LIMITED if wait else Reason.NO_SERVER, retry_after)
 
-    def _choose(self, work: RequestInProgress) -> BackendServer | None:
+    def _choose(self, context: RequestContext) -> BackendServer | None:
         """Choose the server that is expected to answer soonest."""
-        choosable = self._parts.list_accepting(work.service, work.avoided)
+        choosable = self._parts.list_accepting(context.service, context.avoided)
         if not choosable:
             return None
         random.shuffle(choosable)
@@ -90,74 +90,75 @@
         busy = max(belief.in_progress, others)
         return (belief.latency or ASSUMED_LATENCY_S) * (1 + busy / max(1, server.slots))
 
-    async def _try(self, work: RequestInProgress, server: BackendServer) -> TryOutcome:
+    async def _try(self, context: RequestContext, server: BackendServer) -> TryOutcome:
         belief = self._parts.beliefs[server.id]
         started = read_clock()
-        limit = self._limit_try(work)
-        work.sends += 1
+        limit = self._limit_try(context)
+        context.sends += 1
         belief.in_progress += 1
         try:
-            outcome = await self._exchange(work, server, limit)
+            outcome = await self._exchange(context, server, limit)
         finally:
             belief.in_progress -= 1
-        work.may_have_run = work.may_have_run or isinstance(outcome, MayHaveRun)
+        context.may_have_run = context.may_have_run or isinstance(outcome, MayHaveRun)
         seconds = read_clock() - started
         if isinstance(outcome, Answered):
-            work.note(f"{server.id} answered {outcome.status}")
+            context.note(f"{server.id} answered {outcome.status}")
             if outcome.status >= MIN_SERVER_ERROR_STATUS:
                 belief.record_error(read_clock())
             else:
                 belief.record_success(seconds)
         else:
-            work.note(f"{server.id} {outcome.cause}")
+            context.note(f"{server.id} {outcome.cause}")
             if isinstance(outcome, MayHaveRun) or outcome.is_silent:
                 belief.latency = max(belief.latency, seconds)
                 if await self._parts.hears_others({server.id}, started):
                     belief.record_failure(read_clock())
         return outcome
 
-    def _limit_try(self, work: RequestInProgress) -> float:
+    def _limit_try(self, context: RequestContext) -> float:
         """Compute the timeout of a try in seconds; that of a safe request leaves time for a second try."""
-        if work.route.repeatability is Repeatability.SAFE and work.runs + 1 < work.route.max_attempts:
+        if context.route.repeatability is Repeatability.SAFE and context.runs + 1 < context.route.max_attempts:
             return min(
-                work.left, max(FIRST_TRY_OBJECTIVE_SHARE * work.route.objective, FIRST_TRY_TIME_LEFT_SHARE * work.left)
+                context.left,
+                max(FIRST_TRY_OBJECTIVE_SHARE * context.route.objective, FIRST_TRY_TIME_LEFT_SHARE * context.left),
             )
-        return work.left
+        return context.left
 
-    async def _exchange(self, work: RequestInProgress, server: BackendServer, limit: float) -> TryOutcome:
+    async def _exchange(self, context: RequestContext, server: BackendServer, limit: float) -> TryOutcome:
         link: HttpLink | None = None
         is_whole = False
         try:
             with anyio.fail_after(limit):
-                longest = ANY_IDLE_TIME if work.route.may_repeat else UNSAFE_IDLE_LIMIT_S
+                longest = ANY_IDLE_TIME if context.route.may_repeat else UNSAFE_IDLE_LIMIT_S
                 link = await self._parts.pool.take(server.address, longest)
-                obstacle = work.find_obstacle(self._parts.beliefs[server.id])
+                obstacle = context.find_obstacle(self._parts.beliefs[server.id])
                 if obstacle is not None:
                     return NotRun(obstacle)
-                outcome = await self._converse(work, server, link, limit)
+                outcome = await self._converse(context, server, link, limit)
                 is_whole = isinstance(outcome, Answered | NotRun)
                 return outcome
         except TimeoutError:
             if link is None:
                 return NotRun("no connection in time", is_silent=True)
-            work.runs += 1
+            context.runs += 1
             return MayHaveRun("no answer in time")
         except LinkError as error:
             if not error.was_sent:
                 return NotRun(error.cause, is_silent=True)
-            work.runs += 1
+            context.runs += 1
             if not error.is_silence:
-                await self._parts.crash_watch.note_cut(server, work.content, Suspicion.UNHEARD)
+                await self._parts.crash_watch.note_cut(server, context.content, Suspicion.UNHEARD)
             return MayHaveRun(error.cause)
         finally:
             if link is not None:
                 await self._parts.release(link, server.address, is_whole=is_whole)
 
     async def _converse(
-        self, work: RequestInProgress, server: BackendServer, link: HttpLink, limit: float
+        self, context: RequestContext, server: BackendServer, link: HttpLink, limit: float
     ) -> TryOutcome:
-        request = work.request
-        headers = build_server_headers(request.headers, work.make_dispatch(server.name))
+        request = context.request
+        headers = build_server_headers(request.headers, context.make_dispatch(server.name))
         sent_at = read_clock()
         await link.send(request.method, request.target, headers, request.body, limit)
         head = await link.read_head(limit)
@@ -168,14 +169,14 @@
         belief = self._parts.beliefs[server.id]
         if facts.load is not None:
             belief.take_load(facts.load[0] + facts.load[1], read_clock())
-        if facts.id is not None and facts.id != work.facts.id:
+        if facts.id is not None and facts.id != context.facts.id:
             raise LinkError("answer to another request", was_sent=True)
         if not facts.is_wrong_server:
             self._parts.directives.take(server, facts.directives, sent_at)
         if facts.was_refused:
             belief.is_replaced = belief.is_replaced or facts.is_wrong_server
             return NotRun(f"refused with {head.status}")
-        work.runs += 1
+        context.runs += 1
         if facts.is_sealed:
             return Answered(head.status, head.headers, b"".join(parts))
         return MayHaveRun(f"unsealed answer {head.status}")
--- a/packages/node/src/vaneturn_node/traffic/serving/repair.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/repair.py
@@ -13,7 +13,7 @@
 from vaneturn_node.traffic.serving.chainhold import ChainHold
 from vaneturn_node.traffic.serving.clientstream import ClientStream
 from vaneturn_node.traffic.serving.outcomes import MayHaveRun, TryOutcome
-from vaneturn_node.traffic.serving.requests import RequestInProgress
+from vaneturn_node.traffic.serving.requests import RequestContext
 
 MAX_DETOURS: Final = 3
 
@@ -41,14 +41,14 @@
     """Repairs the chain of one try."""
 
     def __init__(
-        self, parts: TrafficParts, work: RequestInProgress, hold: ChainHold, client: ClientStream, move: Move
+        self, parts: TrafficParts, context: RequestContext, hold: ChainHold, client: ClientStream, move: Move
     ) -> None:
         self._parts = parts
-        self._work = work
+        self._context = context
         self._hold = hold
         self._client = client
         self._move = move
-        self._finder = LossFinder(parts, work.facts.id)
+        self._finder = LossFinder(parts, context.facts.id)
 
     @property
     def should_look_soon(self) -> bool:
@@ -77,7 +77,9 @@
         """Move to another try, as the answering server is unresponsive; if none can, its answer may still arrive."""
         self._hold.note_part_lost(self._hold.chain.parts[0])
         await self._move("first server lost", is_gone=True)
-        is_all = self._client.is_begun or not self._work.route.may_repeat  # the request can get no answer but this one
+        is_all = (
+            self._client.is_begun or not self._context.route.may_repeat
+        )  # the request can get no answer but this one
         first = self._hold.first.id
         has_left = first not in self._parts.view.servers or self._parts.reports.is_gone(first)
         if has_left or not is_all:
@@ -86,12 +88,12 @@
 
     async def _replace(self, lost: list[Part]) -> None:
         """Replace the lost parts with other servers."""
-        work = self._work
-        work.note_wait(f"lost {[part.server.id for part in lost]}")
+        context = self._context
+        context.note_wait(f"lost {[part.server.id for part in lost]}")
         for part in lost:
             self._hold.note_part_lost(part)
         for _ in range(MAX_DETOURS):
-            work.avoided.update(part.server.id for part in lost)  # a move that failed has cleared them
+            context.avoided.update(part.server.id for part in lost)  # a move that failed has cleared them
             chain = self._hold.find_detour()
             if chain is None:
                 await self._move("no server in place of the lost one", is_gone=False)
--- a/packages/node/src/vaneturn_node/traffic/serving/requests.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/requests.py
@@ -27,7 +27,7 @@
 
 
 @dataclass
-class RequestInProgress:
+class RequestContext:
     """A request that was admitted."""
 
     request: ClientRequest
@@ -148,4 +148,4 @@
             self.note(lack)
 
 
-__all__ = ["RequestInProgress"]
+__all__ = ["RequestContext"]
--- a/packages/node/src/vaneturn_node/traffic/serving/streams.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streams.py
@@ -15,7 +15,7 @@
 from vaneturn_node.traffic.servers.exchange import TrafficParts
 from vaneturn_node.traffic.serving.clientstream import ClientStream
 from vaneturn_node.traffic.serving.outcomes import Answered, MayHaveRun, NotRun, OwnAnswer, Reason, TryOutcome, refuse
-from vaneturn_node.traffic.serving.requests import RequestInProgress
+from vaneturn_node.traffic.serving.requests import RequestContext
 from vaneturn_node.traffic.serving.streamtry import OnTaken, StreamTry
 
 MAX_SENDS: Final = 5  # of one request, including those that servers refused
@@ -42,66 +42,68 @@
         self._parts = parts
 
     async def forward(
-        self, work: RequestInProgress, engine: EngineProfile, answer: ClientAnswer
+        self, context: RequestContext, engine: EngineProfile, answer: ClientAnswer
     ) -> Answered | OwnAnswer | None:
         """Relay a streamed answer; return None if it was relayed, either in full or broken off after its start."""
         self._parts.arrivals.record()
-        client = ClientStream(answer, work.facts.last_event, self._parts.patience.take_pause)
+        client = ClientStream(answer, context.facts.last_event, self._parts.patience.take_pause)
         try:
-            return await self._forward(work, engine, client)
+            return await self._forward(context, engine, client)
         finally:
-            work.longest_pause = client.pace.longest
+            context.longest_pause = client.pace.longest
             if client.first_at is not None:
-                work.first_event = client.first_at - work.request.arrived
+                context.first_event = client.first_at - context.request.arrived
 
     async def _forward(
-        self, work: RequestInProgress, engine: EngineProfile, client: ClientStream
+        self, context: RequestContext, engine: EngineProfile, client: ClientStream
     ) -> Answered | OwnAnswer | None:
         end: TryOutcome | None = None
         refusals = 0
-        while work.sends < MAX_SENDS and refusals < MAX_REFUSALS and work.left > 0 and work.may_send():
-            prepared = self._prepare(work, engine, client)
+        while context.sends < MAX_SENDS and refusals < MAX_REFUSALS and context.left > 0 and context.may_send():
+            prepared = self._prepare(context, engine, client)
             if prepared in {Lack.CHAIN, Lack.CROSSING} and client.is_begun:
-                work.note_wait("no chain")
+                context.note_wait("no chain")
                 await anyio.sleep(CHAIN_SEARCH_INTERVAL_S)
-                work.avoided.clear()  # lost servers are in backoff, and those that are back may serve
+                context.avoided.clear()  # lost servers are in backoff, and those that are back may serve
                 continue
             if not isinstance(prepared, StreamTry):
-                return self._give_up(work, client, end, prepared)
+                return self._give_up(context, client, end, prepared)
             end = await prepared.run()
             if end is None:
                 return None
             if isinstance(end, Answered) and not client.is_begun:
                 return end
             refusals += isinstance(end, NotRun) and not end.is_limited
-            if not isinstance(end, NotRun) and not work.may_run_again:
+            if not isinstance(end, NotRun) and not context.may_run_again:
                 break
-        return self._give_up(work, client, end)
+        return self._give_up(context, client, end)
 
     def _prepare(
-        self, work: RequestInProgress, engine: EngineProfile, client: ClientStream, on_taken: OnTaken | None = None
+        self, context: RequestContext, engine: EngineProfile, client: ClientStream, on_taken: OnTaken | None = None
     ) -> StreamTry | Lack:
         """Prepare a try: choose its chain and, unless it is the first, take it from the retry budget."""
-        chooser = self._make_chooser(work, engine, is_begun=client.is_begun)
-        chain = chooser.choose(self._parts.list_choosable(work.service, work.avoided))
+        chooser = self._make_chooser(context, engine, is_begun=client.is_begun)
+        chain = chooser.choose(self._parts.list_choosable(context.service, context.avoided))
         if chain is None:
             return Lack.CROSSING if chooser.is_crossing_refused else Lack.CHAIN
-        budget = self._parts.find_budget(work.service)
-        if not work.sends:
+        budget = self._parts.find_budget(context.service)
+        if not context.sends:
             budget.record_first()
         elif not budget.spend():
-            work.note_wait("retry budget used up")
+            context.note_wait("retry budget used up")
             return Lack.BUDGET
 
         def find_next(on_next_taken: OnTaken) -> StreamTry | None:
-            if work.sends >= MAX_SENDS - 1 or not work.may_send():  # the last send is kept for when no try is left
+            if (
+                context.sends >= MAX_SENDS - 1 or not context.may_send()
+            ):  # the last send is kept for when no try is left
                 return None
-            prepared = self._prepare(work, engine, client, on_next_taken)
+            prepared = self._prepare(context, engine, client, on_next_taken)
             return prepared if isinstance(prepared, StreamTry) else None
 
         return StreamTry(
             parts=self._parts,
-            work=work,
+            context=context,
             chooser=chooser,
             chain=chain,
             client=client,
@@ -109,12 +111,12 @@
             on_taken=on_taken,
         )
 
-    def _make_chooser(self, work: RequestInProgress, engine: EngineProfile, *, is_begun: bool) -> ChainChooser:
-        answer = min(work.facts.most_answer_tokens or engine.usual_answer, engine.usual_answer)
-        prompt = work.facts.prompt_tokens or engine.usual_prompt
+    def _make_chooser(self, context: RequestContext, engine: EngineProfile, *, is_begun: bool) -> ChainChooser:
+        answer = min(context.facts.most_answer_tokens or engine.usual_answer, engine.usual_answer)
+        prompt = context.facts.prompt_tokens or engine.usual_prompt
         nodes = self._parts.view.count_nodes()
         return ChainChooser(
-            layer_map=self._parts.find_layer_map(work.service, engine),
+            layer_map=self._parts.find_layer_map(context.service, engine),
             beliefs=self._parts.beliefs,
             node=self._parts.vm,
             hall=self._parts.hall,
@@ -125,23 +127,23 @@
             board=self._parts.board,
             rate=self._parts.arrivals.compute(),
             nodes=nodes,
-            draw=0.0 if is_begun else work.draw,
+            draw=0.0 if is_begun else context.draw,
         )
 
     def _give_up(
-        self, work: RequestInProgress, client: ClientStream, end: TryOutcome | None, lack: Lack | None = None
+        self, context: RequestContext, client: ClientStream, end: TryOutcome | None, lack: Lack | None = None
     ) -> OwnAnswer | None:
-        if end is None and lack is Lack.CROSSING and work.may_send():
+        if end is None and lack is Lack.CROSSING and context.may_send():
             return refuse(Reason.CROSSINGS_FULL, random.uniform(*CROSSINGS_RETRY_S))
         if client.is_begun:
-            work.note("answer broken off")
+            context.note("answer broken off")
             return None
         cause = end.cause if isinstance(end, NotRun | MayHaveRun) else ""
-        if work.may_have_run:
-            return work.give_up_run(cause)
-        wait = self._parts.compute_wait(work.service)
+        if context.may_have_run:
+            return context.give_up_run(cause)
+        wait = self._parts.compute_wait(context.service)
         retry_after = wait + RETRY_AFTER_S * (1 + random.random())
-        if not work.may_send():
+        if not context.may_send():
             return refuse(Reason.KEYS_TOO_OLD, retry_after, cause)
         if wait:
             return refuse(Reason.SERVERS_LIMITED, retry_after, cause)
--- a/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
@@ -28,7 +28,7 @@
 from vaneturn_node.traffic.serving.heads import take_head
 from vaneturn_node.traffic.serving.outcomes import Answered, MayHaveRun, NotRun, TryOutcome
 from vaneturn_node.traffic.serving.repair import ChainRepair, TryOverError
-from vaneturn_node.traffic.serving.requests import RequestInProgress
+from vaneturn_node.traffic.serving.requests import RequestContext
 
 HEAD_PROBE_DELAY_S: Final = 0.2  # without the first event; most arrive in 0.16 s, and the target is 0.5 s
 PROBE_INTERVAL_S: Final = 0.1  # between probes while nothing arrives
@@ -52,7 +52,7 @@
         self,
         *,
         parts: TrafficParts,
-        work: RequestInProgress,
+        context: RequestContext,
         chooser: ChainChooser,
         chain: Chain,
         client: ClientStream,
@@ -66,8 +66,8 @@
             as soon as it cannot continue.
         """
         self._parts = parts
-        self._work = work
-        self._hold = ChainHold(parts, work, chooser, chain)
+        self._context = context
+        self._hold = ChainHold(parts, context, chooser, chain)
         self._client = client
         self._find_next = find_next
         self._on_taken = on_taken
@@ -77,7 +77,7 @@
         self._is_replaced = False  # another try has replaced it
         self._is_back = False  # it resumed while another try was opening, which has to end
         self._moves_from = float("-inf")  # monotonic time from which another try may be sent
-        self._repair = ChainRepair(parts, work, self._hold, client, self._move)
+        self._repair = ChainRepair(parts, context, self._hold, client, self._move)
 
     @property
     def _first(self) -> BackendServer:
@@ -85,7 +85,7 @@
 
     @property
     def _suspicion(self) -> Suspicion | None:
-        if self._work.is_sound:
+        if self._context.is_sound:
             return None
         return Suspicion.BEGUN if self._events else Suspicion.UNHEARD
 
@@ -104,31 +104,31 @@
         finally:
             is_whole = not self._is_replaced and (end is None or isinstance(end, Answered | NotRun))
             await self._close(is_whole=is_whole)
-        self._work.may_have_run = self._work.may_have_run or isinstance(end, MayHaveRun)
+        self._context.may_have_run = self._context.may_have_run or isinstance(end, MayHaveRun)
         if not self._is_replaced and isinstance(end, NotRun | MayHaveRun):
-            self._work.note(end.cause)
+            self._context.note(end.cause)
         return end
 
     async def _converse(self) -> TryOutcome | None:
-        work = self._work
+        context = self._context
         if not await self._parts.permits.obtain(self._first.id):
-            self._parts.find_budget(work.service).take_back(is_first=not work.sends)
+            self._parts.find_budget(context.service).take_back(is_first=not context.sends)
             return NotRun(f"{self._first.id} has no room by its rate limit", is_limited=True)
-        work.sends += 1
+        context.sends += 1
         self._client.pace.mark(Stage.WENT_ON, read_clock())
         self._hold.take()
         self._link = link = await self._parts.pool.take(self._first.address)
-        obstacle = work.find_obstacle(self._parts.beliefs[self._first.id])
+        obstacle = context.find_obstacle(self._parts.beliefs[self._first.id])
         if obstacle is not None:
             return NotRun(obstacle)
-        dispatch = work.make_dispatch(
+        dispatch = context.make_dispatch(
             self._first.name, self._hold.chain, self._client.last_event, is_resumed=self._client.is_begun
         )
-        headers = build_server_headers(work.request.headers, dispatch)
+        headers = build_server_headers(context.request.headers, dispatch)
         self._hold.sent_at = read_clock()
-        await link.send(work.request.method, work.request.target, headers, work.request.body, work.left)
+        await link.send(context.request.method, context.request.target, headers, context.request.body, context.left)
         head = await self._wait_for(link.read_head, HEAD_PROBE_DELAY_S)
-        failure = await take_head(self._parts, work, self._hold, link, head)
+        failure = await take_head(self._parts, context, self._hold, link, head)
         if failure is not None:
             return failure
         if self._on_taken is not None:
@@ -141,16 +141,16 @@
         splitter = EventSplitter()
         self._client.take_head(head)
         while True:
-            overdue = self._parts.patience.compute(self._client.pace, self._work.route.pause_objective)
+            overdue = self._parts.patience.compute(self._client.pace, self._context.route.pause_objective)
             data = await self._wait_for(link.read_data, overdue)
             if data is None:
                 await self._client.end(splitter)
-                self._parts.crash_watch.note_sound(self._first, self._work.content)
+                self._parts.crash_watch.note_sound(self._first, self._context.content)
                 return
             passed = await self._client.pass_on(splitter, data)
             if passed:
                 self._events += passed
-                self._work.events += passed
+                self._context.events += passed
                 self._hold.note_heard()
                 self._note_running()
 
@@ -158,9 +158,9 @@
         """Record when the server has run the request for long enough to show that it does not crash servers."""
         now = read_clock()
         self._heard_from = min(self._heard_from, now)
-        if not self._work.is_sound and now - self._heard_from >= STARTING_TIME:
-            self._work.is_sound = True
-            self._parts.crash_watch.note_sound(self._first, self._work.content)
+        if not self._context.is_sound and now - self._heard_from >= STARTING_TIME:
+            self._context.is_sound = True
+            self._parts.crash_watch.note_sound(self._first, self._context.content)
 
     async def _close(self, *, is_whole: bool) -> None:
         """Release what was reserved; a server whose answer is not whole stops its work."""
@@ -172,14 +172,14 @@
 
     async def _note_lost(self, error: LinkError) -> TryOutcome:
         """Record what a lost connection means for the first server and for the request; return the outcome."""
-        self._work.avoided.add(self._first.id)
+        self._context.avoided.add(self._first.id)
         if not error.is_silence or await self._parts.hears_others({self._first.id}, self._hold.taken_at):
             self._parts.note_lost(self._first.id)
         if not error.was_sent:
             return NotRun(error.cause, is_silent=True)
         self._hold.count_run()
         if not error.is_silence and await self._parts.crash_watch.note_cut(
-            self._first, self._work.content, self._suspicion
+            self._first, self._context.content, self._suspicion
         ):
             self._hold.uncount_run()
         return MayHaveRun(f"{error.cause}, after {self._events} events")
@@ -196,7 +196,7 @@
             except LinkError as error:
                 if not error.is_silence:
                     raise
-            if self._work.left <= 0:
+            if self._context.left <= 0:
                 self._hold.count_run()
                 raise TryOverError(MayHaveRun("time is up"))
             await self._repair.look_for_loss()
@@ -215,25 +215,25 @@
             if not is_gone:
                 self._hold.count_run()
             raise TryOverError(MayHaveRun(cause))
-        work = self._work
+        context = self._context
         if is_gone and self._suspicion is not None:
-            self._parts.crash_watch.note_silent(self._first, work.content, self._suspicion)
-        runs = work.runs + (not self._hold.is_counted) - is_gone
-        if not work.route.may_repeat or runs >= work.route.max_attempts:
-            work.note_wait(f"{cause}; waits")
+            self._parts.crash_watch.note_silent(self._first, context.content, self._suspicion)
+        runs = context.runs + (not self._hold.is_counted) - is_gone
+        if not context.route.may_repeat or runs >= context.route.max_attempts:
+            context.note_wait(f"{cause}; waits")
             return
         if read_clock() >= self._moves_from:
             await self._try_next(cause, is_gone=is_gone)
-        work.note_wait(f"{cause}; waits")
-        work.avoided.clear()  # lost and full servers are in backoff; the others may serve by now
+        context.note_wait(f"{cause}; waits")
+        context.avoided.clear()  # lost and full servers are in backoff; the others may serve by now
 
     async def _try_next(self, cause: str, *, is_gone: bool) -> None:
-        work = self._work
-        work.avoided.add(self._first.id)
+        context = self._context
+        context.avoided.add(self._first.id)
         successor = self._find_next(partial(self._give_way, is_gone=is_gone))
         if successor is None:
             return
-        work.note(cause)
+        context.note(cause)
         self._hold.count_run()
         end: TryOutcome | None = None
         self._is_back = False
@@ -251,12 +251,12 @@
         """End the next try if this one resumes before a server has accepted the next."""
         assert self._link is not None  # noqa: S101 # a try without a connection is not kept
         try:
-            await self._link.wait_for_more(self._work.left)
+            await self._link.wait_for_more(self._context.left)
         except LinkError as error:
             logger.debug("kept try lost", extra={"cause": error.cause})  # the next read reports it as well
             return
         if not self._is_replaced:
-            self._work.note("goes on where it was")
+            self._context.note("goes on where it was")
             self._is_back = True
             scope.cancel()
 
@@ -268,7 +268,7 @@
         if self._is_back:
             raise TryOverError(MayHaveRun("the one before went on"))
         self._is_replaced = True
-        self._work.may_have_run = True
+        self._context.may_have_run = True
         if is_gone:
             self._hold.uncount_run()
         await self._close(is_whole=False)
--- a/tests/node/traffic/serving/test_streamtry.py
+++ b/tests/node/traffic/serving/test_streamtry.py
@@ -28,11 +28,13 @@
 
 def make_try() -> StreamTry:
     parts = make_parts("entry-1", PlatformView(5.0, time.monotonic), ServerBeliefs(), Caller(LinkPool()))
-    work: Any = SimpleNamespace(runs=0, may_have_run=False, facts=SimpleNamespace(id="request-1"))
+    context: Any = SimpleNamespace(runs=0, may_have_run=False, facts=SimpleNamespace(id="request-1"))
     chooser: Any = SimpleNamespace(tokens=100)
     chain = Chain(80, (Part(make_server(1, "a100", layers=(0, 80)), 0, 80),))
     client: Any = SimpleNamespace()
-    return StreamTry(parts=parts, work=work, chooser=chooser, chain=chain, client=client, find_next=lambda _: None)
+    return StreamTry(
+        parts=parts, context=context, chooser=chooser, chain=chain, client=client, find_next=lambda _: None
+    )
 
 
 async def test_try_that_went_on_gives_way_no_more() -> None:
--- a/tests/rig/ablation.py
+++ b/tests/rig/ablation.py
@@ -94,7 +94,7 @@
     Mechanism(
         "idle-bound",
         "a request that may not run twice lost on a connection that the server forgot",
-        (Edit(f"{TRAFFIC}/serving/plain.py", "longest = ANY_IDLE_TIME if work.route.may_repeat else", "longest ="),),
+        (Edit(f"{TRAFFIC}/serving/plain.py", "longest = ANY_IDLE_TIME if context.route.may_repeat else", "longest ="),),
     ),
     Mechanism(
         "retry-shares",
@@ -107,12 +107,12 @@
         (
             Edit(
                 f"{TRAFFIC}/serving/plain.py",
-                "if last.status < MIN_SERVER_ERROR_STATUS or not work.may_run_again:",
-                "if last.status < MIN_SERVER_ERROR_STATUS or work.runs:",
+                "if last.status < MIN_SERVER_ERROR_STATUS or not context.may_run_again:",
+                "if last.status < MIN_SERVER_ERROR_STATUS or context.runs:",
             ),
             Edit(
                 f"{TRAFFIC}/serving/plain.py",
-                "elif isinstance(last, MayHaveRun) and not work.may_run_again:",
+                "elif isinstance(last, MayHaveRun) and not context.may_run_again:",
                 "elif isinstance(last, MayHaveRun):",
             ),
         ),
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -102,7 +102,9 @@
                 "        return not readable.poll(0)\n",
                 "        return True\n",
             ),
-            Edit(f"{TRAFFIC}/serving/plain.py", "if facts.id is not None and facts.id != work.facts.id:", "if False:"),
+            Edit(
+                f"{TRAFFIC}/serving/plain.py", "if facts.id is not None and facts.id != context.facts.id:", "if False:"
+            ),
         ),
     ),
     Proof(
@@ -160,7 +162,7 @@
         (
             Edit(
                 f"{TRAFFIC}/serving/streamtry.py",
-                '            work.note_wait(f"{cause}; waits")\n            return\n',
+                '            context.note_wait(f"{cause}; waits")\n            return\n',
                 "            raise TryOverError(MayHaveRun(cause))\n",
             ),
         ),
@@ -329,7 +331,11 @@
     Proof(
         "a copy that has had events goes on when its content is barred",
         f"{SYSTEM}/test_deadly.py::test_copy_that_has_had_events_goes_on",
-        (Edit(f"{TRAFFIC}/serving/answering.py", "if work.sends and not work.events and", "if work.sends and"),),
+        (
+            Edit(
+                f"{TRAFFIC}/serving/answering.py", "if context.sends and not context.events and", "if context.sends and"
+            ),
+        ),
     ),
     Proof(
         "an answer begins with its first event",
