--- a/packages/node/src/vaneturn_node/traffic/serving/answering.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/answering.py
@@ -89,11 +89,11 @@
             route=route,
             service=_choose_service(route),
             customer=customer,
-            has_key=lambda: self._has_key(route, facts, customer),
+            is_key_valid=lambda: self._is_key_valid(route, facts, customer),
             crashes=self._parts.crashes,
         )
 
-    def _has_key(self, route: TrafficRoute, facts: RequestFacts, customer: TrafficCustomer | None) -> bool:
+    def _is_key_valid(self, route: TrafficRoute, facts: RequestFacts, customer: TrafficCustomer | None) -> bool:
         """Tell whether the key of a request is still valid in a configuration that the store confirmed recently."""
         configuration = self._parts.view.configuration
         if configuration is None or route.is_public or not configuration.needs_keys:
@@ -105,20 +105,20 @@
 
     async def _forward_in_time(self, context: RequestContext, answer: ClientAnswer) -> Answered | OwnAnswer | None:
         """Forward a request; at its deadline, give the final answer, or break off an answer that has begun."""
-        if context.left <= 0:  # it expired while waiting for the first configuration
+        if context.time_left <= 0:  # it expired while waiting for the first configuration
             return refuse(Reason.TIMEOUT, OLD_KEYS_RETRY_S)
         result: Answered | OwnAnswer | None = None
-        with anyio.move_on_after(context.left) as scope:
+        with anyio.move_on_after(context.time_left) as scope:
             self._open[scope] = context
             try:
                 result = await self._forward(context, answer)
             finally:
                 del self._open[scope]
         if not isinstance(result, Answered) and not answer.is_begun and context.is_barred:
-            return context.bar()
+            return context.make_barred_answer()
         if not scope.cancelled_caught:
             return result
-        context.note("time is up")
+        context.add_step("time is up")
         if answer.is_begun:
             return None
         if context.sends:
--- a/packages/node/src/vaneturn_node/traffic/serving/chainhold.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/chainhold.py
@@ -35,7 +35,7 @@
         self.is_taken = True
         self.taken_at = read_clock()
         over = " ".join(f"{part.server.id}[{part.first},{part.end})" for part in self.chain.parts)
-        self._context.note(f"over {over}, fullest {self._chooser.estimate_fullness(self.chain):.2f}")
+        self._context.add_step(f"over {over}, fullest {self._chooser.estimate_fullness(self.chain):.2f}")
         self._reserve(1)
 
     def give_back(self) -> None:
@@ -61,7 +61,7 @@
         for part in self.chain.parts:
             self._parts.beliefs[part.server.id].record_token(now)
             self._context.avoided.discard(part.server.id)
-        self._context.waits.clear()
+        self._context.wait_steps.clear()
 
     def note_part_lost(self, part: Part) -> None:
         """Record the loss of a part, once while it is unresponsive."""
@@ -104,7 +104,7 @@
         assert self._context.facts.id is not None  # noqa: S101 # a request without an id is not admitted
         outcome = await self._parts.calls.replace_parts(self.first, self._context.facts.id, list(chain.parts))
         added = [part.server.id for part in chain.parts if part not in self.chain.parts]
-        self._context.note(f"detour over {added} {outcome.value}")
+        self._context.add_step(f"detour over {added} {outcome.value}")
         if outcome is OrderOutcome.TAKEN:
             self._reserve(-1)
             self.chain = chain
--- a/packages/node/src/vaneturn_node/traffic/serving/heads.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/heads.py
@@ -46,7 +46,7 @@
 ) -> TryOutcome:
     """Read an answer that is no success; return the outcome of the try."""
     body = []
-    while (data := await link.read_data(max(MIN_BODY_TIMEOUT_S, context.left))) is not None:
+    while (data := await link.read_data(max(MIN_BODY_TIMEOUT_S, context.time_left))) is not None:
         body.append(data)
     facts = read_answer_facts(head.status, head.headers)
     if facts.was_refused:
--- a/packages/node/src/vaneturn_node/traffic/serving/plain.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/plain.py
@@ -39,18 +39,18 @@
         budget = self._parts.find_budget(context.service)
         last: TryOutcome | None = None
         failure: Answered | None = None  # a server's error answer, returned if no other server gives a better one
-        while context.sends < MAX_SENDS and context.left > 0:
+        while context.sends < MAX_SENDS and context.time_left > 0:
             server = self._choose(context)
             if server is None or not context.may_send():
                 break
             if context.sends and not budget.spend():
-                context.note("retry budget used up")
+                context.add_step("retry budget used up")
                 break
             if not context.sends:
                 budget.record_first()
             if not await self._parts.permits.obtain(server.id):
                 budget.take_back(is_first=not context.sends)
-                context.note(f"{server.id} has no room by its rate limit")
+                context.add_step(f"{server.id} has no room by its rate limit")
                 continue
             last = await self._try(context, server)
             if isinstance(last, Answered):
@@ -67,7 +67,7 @@
 
     def _give_up(self, context: RequestContext, last: TryOutcome | None) -> OwnAnswer:
         if context.may_have_run:
-            return context.give_up_run(last.cause if isinstance(last, MayHaveRun | NotRun) else "")
+            return context.make_may_have_run_answer(last.cause if isinstance(last, MayHaveRun | NotRun) else "")
         wait = self._parts.compute_wait(context.service)
         retry_after = wait + RETRY_AFTER_S * (1 + random.random())
         if not context.may_send():
@@ -103,13 +103,13 @@
         context.may_have_run = context.may_have_run or isinstance(outcome, MayHaveRun)
         seconds = read_clock() - started
         if isinstance(outcome, Answered):
-            context.note(f"{server.id} answered {outcome.status}")
+            context.add_step(f"{server.id} answered {outcome.status}")
             if outcome.status >= MIN_SERVER_ERROR_STATUS:
                 belief.record_error(read_clock())
             else:
                 belief.record_success(seconds)
         else:
-            context.note(f"{server.id} {outcome.cause}")
+            context.add_step(f"{server.id} {outcome.cause}")
             if isinstance(outcome, MayHaveRun) or outcome.is_silent:
                 belief.latency = max(belief.latency, seconds)
                 if await self._parts.hears_others({server.id}, started):
@@ -120,10 +120,10 @@
         """Compute the timeout of a try in seconds; that of a safe request leaves time for a second try."""
         if context.route.repeatability is Repeatability.SAFE and context.runs + 1 < context.route.max_attempts:
             return min(
-                context.left,
-                max(FIRST_TRY_OBJECTIVE_SHARE * context.route.objective, FIRST_TRY_TIME_LEFT_SHARE * context.left),
+                context.time_left,
+                max(FIRST_TRY_OBJECTIVE_SHARE * context.route.objective, FIRST_TRY_TIME_LEFT_SHARE * context.time_left),
             )
-        return context.left
+        return context.time_left
 
     async def _exchange(self, context: RequestContext, server: BackendServer, limit: float) -> TryOutcome:
         link: HttpLink | None = None
@@ -132,7 +132,7 @@
             with anyio.fail_after(limit):
                 longest = ANY_IDLE_TIME if context.route.may_repeat else UNSAFE_IDLE_LIMIT_S
                 link = await self._parts.pool.take(server.address, longest)
-                obstacle = context.find_obstacle(self._parts.beliefs[server.id])
+                obstacle = context.claim_send(self._parts.beliefs[server.id])
                 if obstacle is not None:
                     return NotRun(obstacle)
                 outcome = await self._converse(context, server, link, limit)
--- a/packages/node/src/vaneturn_node/traffic/serving/repair.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/repair.py
@@ -89,7 +89,7 @@
     async def _replace(self, lost: list[Part]) -> None:
         """Replace the lost parts with other servers."""
         context = self._context
-        context.note_wait(f"lost {[part.server.id for part in lost]}")
+        context.add_wait_step(f"lost {[part.server.id for part in lost]}")
         for part in lost:
             self._hold.note_part_lost(part)
         for _ in range(MAX_DETOURS):
--- a/packages/node/src/vaneturn_node/traffic/serving/requests.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/requests.py
@@ -35,7 +35,7 @@
     route: TrafficRoute
     service: ServiceName
     customer: TrafficCustomer | None
-    has_key: Callable[[], bool]  # called right before each send: the key may have been revoked meanwhile
+    is_key_valid: Callable[[], bool]  # called right before each send: the key may have been revoked meanwhile
     crashes: CrashBoard
     sends: int = 0
     runs: int = 0  # sends that count as attempts; those to servers that are gone do not
@@ -48,7 +48,7 @@
     draw: float = field(default_factory=random.random)
     steps: list[str] = field(default_factory=list)  # decisions made, for the log
     is_sound: bool = False  # a server has run it for a while, so it does not crash servers
-    waits: set[str] = field(default_factory=set)  # reasons to wait since the newest event; each is logged once
+    wait_steps: set[str] = field(default_factory=set)  # reasons to wait since the newest event; each is logged once
 
     @cached_property
     def content(self) -> Content:
@@ -67,16 +67,16 @@
         Sends to second servers, over other chains and of resumed streams all check this: where none of them did, one
         request crashed 26 servers in 70 s.
         """
-        return self.has_key() and not self.is_barred
+        return self.is_key_valid() and not self.is_barred
 
-    def find_obstacle(self, belief: ServerBelief) -> str | None:
+    def claim_send(self, belief: ServerBelief) -> str | None:
         """Claim a send right before it is made; return what forbids it, None if nothing does."""
         if not self.may_send():
             return "keys too old"
         return None if belief.claim_send(read_clock()) else "the server asked for no more requests"
 
     @property
-    def ends(self) -> float:
+    def expires_at(self) -> float:
         """Give the monotonic time at which it must be answered."""
         allowed = self.route.timeout
         if self.facts.deadline is not None:
@@ -84,9 +84,9 @@
         return self.request.arrived + allowed - ANSWER_MARGIN_S
 
     @property
-    def left(self) -> float:
+    def time_left(self) -> float:
         """Give the seconds until it must be answered."""
-        return self.ends - read_clock()
+        return self.expires_at - read_clock()
 
     @property
     def may_run_again(self) -> bool:
@@ -119,33 +119,33 @@
         """
         return Dispatch(
             server=server,
-            deadline=None if self.facts.deadline is None else max(0.001, self.left),
+            deadline=None if self.facts.deadline is None else max(0.001, self.time_left),
             customer=self.customer.name if self.customer is not None else None,
             priority=MOST_URGENT if is_resumed else min(LEAST_URGENT, self.priority),
             chain=chain,
             last_event=last_event if last_event is not None else self.facts.last_event,
         )
 
-    def bar(self) -> OwnAnswer:
+    def make_barred_answer(self) -> OwnAnswer:
         """Make the final answer to a request that crashes servers; status 400 tells clients not to repeat it."""
-        ends = ", ".join(self.crashes.list_ends_under(self.content))
-        return OwnAnswer(400, Reason.ENDS_SERVERS, cause=f"servers ended when they began to run it: {ends}")
+        crashes = ", ".join(self.crashes.list_ends_under(self.content))
+        return OwnAnswer(400, Reason.ENDS_SERVERS, cause=f"servers ended when they began to run it: {crashes}")
 
-    def give_up_run(self, cause: str) -> OwnAnswer:
+    def make_may_have_run_answer(self, cause: str) -> OwnAnswer:
         """Make the final answer to a request that may have run."""
-        if self.left <= 0:
+        if self.time_left <= 0:
             return OwnAnswer(504, Reason.TIMEOUT, cause=cause)
         return OwnAnswer(502, Reason.MAY_HAVE_RUN, cause=cause)
 
-    def note(self, step: str) -> None:
+    def add_step(self, step: str) -> None:
         """Add a step to the log line of the request."""
         self.steps.append(f"{self.age * 1000:.0f}ms {step}")
 
-    def note_wait(self, lack: str) -> None:
+    def add_wait_step(self, step: str) -> None:
         """Add what the request waits for to its log line, once until the next event."""
-        if lack not in self.waits:
-            self.waits.add(lack)
-            self.note(lack)
+        if step not in self.wait_steps:
+            self.wait_steps.add(step)
+            self.add_step(step)
 
 
 __all__ = ["RequestContext"]
--- a/packages/node/src/vaneturn_node/traffic/serving/streams.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streams.py
@@ -59,10 +59,10 @@
     ) -> Answered | OwnAnswer | None:
         end: TryOutcome | None = None
         refusals = 0
-        while context.sends < MAX_SENDS and refusals < MAX_REFUSALS and context.left > 0 and context.may_send():
+        while context.sends < MAX_SENDS and refusals < MAX_REFUSALS and context.time_left > 0 and context.may_send():
             prepared = self._prepare(context, engine, client)
             if prepared in {Lack.CHAIN, Lack.CROSSING} and client.is_begun:
-                context.note_wait("no chain")
+                context.add_wait_step("no chain")
                 await anyio.sleep(CHAIN_SEARCH_INTERVAL_S)
                 context.avoided.clear()  # lost servers are in backoff, and those that are back may serve
                 continue
@@ -90,7 +90,7 @@
         if not context.sends:
             budget.record_first()
         elif not budget.spend():
-            context.note_wait("retry budget used up")
+            context.add_wait_step("retry budget used up")
             return Lack.BUDGET
 
         def find_next(on_next_taken: OnTaken) -> StreamTry | None:
@@ -136,11 +136,11 @@
         if end is None and lack is Lack.CROSSING and context.may_send():
             return refuse(Reason.CROSSINGS_FULL, random.uniform(*CROSSINGS_RETRY_S))
         if client.is_begun:
-            context.note("answer broken off")
+            context.add_step("answer broken off")
             return None
         cause = end.cause if isinstance(end, NotRun | MayHaveRun) else ""
         if context.may_have_run:
-            return context.give_up_run(cause)
+            return context.make_may_have_run_answer(cause)
         wait = self._parts.compute_wait(context.service)
         retry_after = wait + RETRY_AFTER_S * (1 + random.random())
         if not context.may_send():
--- a/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
@@ -41,7 +41,6 @@
 
 logger = logging.getLogger(__name__)
 
-
 OnTaken = Callable[[], Awaitable[None]]
 
 
@@ -106,7 +105,7 @@
             await self._close(is_whole=is_whole)
         self._context.may_have_run = self._context.may_have_run or isinstance(end, MayHaveRun)
         if not self._is_replaced and isinstance(end, NotRun | MayHaveRun):
-            self._context.note(end.cause)
+            self._context.add_step(end.cause)
         return end
 
     async def _converse(self) -> TryOutcome | None:
@@ -118,7 +117,7 @@
         self._client.pace.mark(Stage.WENT_ON, read_clock())
         self._hold.take()
         self._link = link = await self._parts.pool.take(self._first.address)
-        obstacle = context.find_obstacle(self._parts.beliefs[self._first.id])
+        obstacle = context.claim_send(self._parts.beliefs[self._first.id])
         if obstacle is not None:
             return NotRun(obstacle)
         dispatch = context.make_dispatch(
@@ -126,7 +125,9 @@
         )
         headers = build_server_headers(context.request.headers, dispatch)
         self._hold.sent_at = read_clock()
-        await link.send(context.request.method, context.request.target, headers, context.request.body, context.left)
+        await link.send(
+            context.request.method, context.request.target, headers, context.request.body, context.time_left
+        )
         head = await self._wait_for(link.read_head, HEAD_PROBE_DELAY_S)
         failure = await take_head(self._parts, context, self._hold, link, head)
         if failure is not None:
@@ -196,7 +197,7 @@
             except LinkError as error:
                 if not error.is_silence:
                     raise
-            if self._context.left <= 0:
+            if self._context.time_left <= 0:
                 self._hold.count_run()
                 raise TryOverError(MayHaveRun("time is up"))
             await self._repair.look_for_loss()
@@ -220,11 +221,11 @@
             self._parts.crash_watch.note_silent(self._first, context.content, self._suspicion)
         runs = context.runs + (not self._hold.is_counted) - is_gone
         if not context.route.may_repeat or runs >= context.route.max_attempts:
-            context.note_wait(f"{cause}; waits")
+            context.add_wait_step(f"{cause}; waits")
             return
         if read_clock() >= self._moves_from:
             await self._try_next(cause, is_gone=is_gone)
-        context.note_wait(f"{cause}; waits")
+        context.add_wait_step(f"{cause}; waits")
         context.avoided.clear()  # lost and full servers are in backoff; the others may serve by now
 
     async def _try_next(self, cause: str, *, is_gone: bool) -> None:
@@ -233,7 +234,7 @@
         successor = self._find_next(partial(self._give_way, is_gone=is_gone))
         if successor is None:
             return
-        context.note(cause)
+        context.add_step(cause)
         self._hold.count_run()
         end: TryOutcome | None = None
         self._is_back = False
@@ -251,12 +252,12 @@
         """End the next try if this one resumes before a server has accepted the next."""
         assert self._link is not None  # noqa: S101 # a try without a connection is not kept
         try:
-            await self._link.wait_for_more(self._context.left)
+            await self._link.wait_for_more(self._context.time_left)
         except LinkError as error:
             logger.debug("kept try lost", extra={"cause": error.cause})  # the next read reports it as well
             return
         if not self._is_replaced:
-            self._context.note("goes on where it was")
+            self._context.add_step("goes on where it was")
             self._is_back = True
             scope.cancel()
 
@@ -276,5 +277,4 @@
 
 FindNext = Callable[[OnTaken], StreamTry | None]
 
-
 __all__ = ["FindNext", "OnTaken", "StreamTry", "TryOutcome"]
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -162,7 +162,7 @@
         (
             Edit(
                 f"{TRAFFIC}/serving/streamtry.py",
-                '            context.note_wait(f"{cause}; waits")\n            return\n',
+                '            context.add_wait_step(f"{cause}; waits")\n            return\n',
                 "            raise TryOverError(MayHaveRun(cause))\n",
             ),
         ),
@@ -305,8 +305,8 @@
         (
             Edit(
                 f"{TRAFFIC}/serving/requests.py",
-                "return self.has_key() and not self.is_barred",
-                "return self.has_key()",
+                "return self.is_key_valid() and not self.is_barred",
+                "return self.is_key_valid()",
             ),
         ),
     ),
