--- a/packages/node/src/vaneturn_node/traffic/serving/chainhold.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/chainhold.py
@@ -12,7 +12,7 @@
 from vaneturn_node.traffic.serving.requests import RequestContext
 
 
-class ChainHold:
+class ChainReservation:
     """The chain of a try, which a detour may change; it counts as load on its servers while it is reserved."""
 
     def __init__(self, parts: TrafficParts, context: RequestContext, chooser: ChainChooser, chain: Chain) -> None:
@@ -20,42 +20,42 @@
         self._context = context
         self._chooser = chooser
         self.chain = chain
-        self.is_taken = False
-        self.taken_at = 0.0  # monotonic time
+        self.is_reserved = False
+        self.reserved_at = 0.0  # monotonic time
         self.sent_at = 0.0  # monotonic time at which the request was sent to the first server
-        self.is_counted = False  # as a run of the request
+        self.is_run_counted = False  # as a run of the request
 
     @property
     def first(self) -> BackendServer:
         """Give the first server, which receives the request and sends the answer."""
         return self.chain.first
 
-    def take(self) -> None:
+    def reserve(self) -> None:
         """Reserve the slots and the memory of the request on every server of the chain."""
-        self.is_taken = True
-        self.taken_at = read_clock()
-        over = " ".join(f"{part.server.id}[{part.first},{part.end})" for part in self.chain.parts)
-        self._context.add_step(f"over {over}, fullest {self._chooser.estimate_fullness(self.chain):.2f}")
-        self._reserve(1)
+        self.is_reserved = True
+        self.reserved_at = read_clock()
+        parts_text = " ".join(f"{part.server.id}[{part.first},{part.end})" for part in self.chain.parts)
+        self._context.add_step(f"over {parts_text}, fullest {self._chooser.estimate_fullness(self.chain):.2f}")
+        self._add_load(1)
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Release what was reserved."""
-        self.is_taken = False
-        self._reserve(-1)
+        self.is_reserved = False
+        self._add_load(-1)
 
     def count_run(self) -> None:
         """Count that the request may have run on the first server, at most once per try."""
-        if not self.is_counted:
-            self.is_counted = True
+        if not self.is_run_counted:
+            self.is_run_counted = True
             self._context.runs += 1
 
-    def uncount_run(self) -> None:
+    def undo_run_count(self) -> None:
         """Undo the count of the run: runs on servers that are gone do not count."""
-        if self.is_counted:
-            self.is_counted = False
+        if self.is_run_counted:
+            self.is_run_counted = False
             self._context.runs -= 1
 
-    def note_heard(self) -> None:
+    def record_working(self) -> None:
         """Record that every part of the chain has just worked."""
         now = read_clock()
         for part in self.chain.parts:
@@ -63,13 +63,13 @@
             self._context.avoided.discard(part.server.id)
         self._context.wait_steps.clear()
 
-    def note_part_lost(self, part: Part) -> None:
+    def record_lost_part(self, part: Part) -> None:
         """Record the loss of a part, once while it is unresponsive."""
         if part.server.id not in self._context.avoided:
             self._context.avoided.add(part.server.id)
             self._parts.note_lost(part.server.id)
 
-    def note_refusal(self, facts: AnswerFacts) -> BackendServer:
+    def record_refusal(self, facts: AnswerFacts) -> BackendServer:
         """Record a refusal; return the server at fault, which is the first one unless the refusal names another."""
         faulty = self.first if facts.faulty is None else self._find_server(facts.faulty)
         self._context.avoided.add(faulty.id)
@@ -85,15 +85,15 @@
 
         The first part stays, since its server sends the answer.
         """
-        choosable = self._parts.list_choosable(self._context.service, self._context.avoided)
+        candidates = self._parts.list_choosable(self._context.service, self._context.avoided)
         kept = [part for part in self.chain.parts if part is self.chain.parts[0] or not self._is_avoided(part)]
         parts: list[Part] = []
         for part in self.chain.parts:
             if part in kept:
                 parts.append(part)
                 continue
-            others = [*kept, *(one for one in parts if one not in kept)]
-            replacement = self._chooser.choose_replacement(choosable, others, part)
+            others = [*kept, *(added for added in parts if added not in kept)]
+            replacement = self._chooser.choose_replacement(candidates, others, part)
             if not replacement:
                 return None
             parts += replacement
@@ -106,9 +106,9 @@
         added = [part.server.id for part in chain.parts if part not in self.chain.parts]
         self._context.add_step(f"detour over {added} {outcome.value}")
         if outcome is OrderOutcome.TAKEN:
-            self._reserve(-1)
+            self._add_load(-1)
             self.chain = chain
-            self._reserve(1)
+            self._add_load(1)
         elif outcome is OrderOutcome.CONFLICT:  # one of them has no free capacity, or no longer holds its part
             self._context.avoided.update(added)
         return outcome
@@ -116,7 +116,7 @@
     def _is_avoided(self, part: Part) -> bool:
         return part.server.id in self._context.avoided
 
-    def _reserve(self, sign: int) -> None:
+    def _add_load(self, sign: int) -> None:
         for part in self.chain.parts:
             belief = self._parts.beliefs[part.server.id]
             belief.in_progress += sign
@@ -127,4 +127,4 @@
         return next((part.server for part in self.chain.parts if part.server.address == address), self.first)
 
 
-__all__ = ["ChainHold"]
+__all__ = ["ChainReservation"]
--- a/packages/node/src/vaneturn_node/traffic/serving/heads.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/heads.py
@@ -8,7 +8,7 @@
 from vaneturn_node.http1.link import AnswerHead, HttpLink, LinkError
 from vaneturn_node.platform.headers import read_answer_facts
 from vaneturn_node.traffic.servers.exchange import TrafficParts
-from vaneturn_node.traffic.serving.chainhold import ChainHold
+from vaneturn_node.traffic.serving.chainhold import ChainReservation
 from vaneturn_node.traffic.serving.outcomes import Answered, MayHaveRun, NotRun, TryOutcome
 from vaneturn_node.traffic.serving.requests import RequestContext
 
@@ -17,32 +17,32 @@
 
 
 async def take_head(
-    parts: TrafficParts, context: RequestContext, hold: ChainHold, link: HttpLink, head: AnswerHead
+    parts: TrafficParts, context: RequestContext, reservation: ChainReservation, link: HttpLink, head: AnswerHead
 ) -> TryOutcome | None:
     """Handle the head of an answer; return the outcome of the try if it is no success.
 
     :raises LinkError: the answer is to another request, or not from the server.
     """
     facts = read_answer_facts(head.status, head.headers)
-    belief = parts.beliefs[hold.first.id]
+    belief = parts.beliefs[reservation.first.id]
     now = read_clock()
     if facts.load is not None:
         belief.take_load(facts.load[0] + facts.load[1], now)
     if facts.id is not None and facts.id != context.facts.id:
         raise LinkError("answer to another request", was_sent=True)
     if not facts.is_wrong_server:
-        parts.directives.take(hold.first, facts.directives, hold.sent_at)
+        parts.directives.take(reservation.first, facts.directives, reservation.sent_at)
     if head.status not in SUCCESS_STATUSES:
-        return await _take_failure(parts, context, hold, link, head)
+        return await _take_failure(parts, context, reservation, link, head)
     if not facts.is_sealed:
         raise LinkError("unsealed answer", was_sent=True)
-    hold.count_run()
-    belief.record_success(now - hold.taken_at)
+    reservation.count_run()
+    belief.record_success(now - reservation.reserved_at)
     return None
 
 
 async def _take_failure(
-    parts: TrafficParts, context: RequestContext, hold: ChainHold, link: HttpLink, head: AnswerHead
+    parts: TrafficParts, context: RequestContext, reservation: ChainReservation, link: HttpLink, head: AnswerHead
 ) -> TryOutcome:
     """Read an answer that is no success; return the outcome of the try."""
     body = []
@@ -50,10 +50,10 @@
         body.append(data)
     facts = read_answer_facts(head.status, head.headers)
     if facts.was_refused:
-        return NotRun(f"refused with {head.status} at {hold.note_refusal(facts).id}")
-    hold.count_run()
-    context.avoided.add(hold.first.id)
-    parts.beliefs[hold.first.id].record_error(read_clock())
+        return NotRun(f"refused with {head.status} at {reservation.record_refusal(facts).id}")
+    reservation.count_run()
+    context.avoided.add(reservation.first.id)
+    parts.beliefs[reservation.first.id].record_error(read_clock())
     if facts.is_sealed:
         return Answered(head.status, head.headers, b"".join(body))
     return MayHaveRun(f"unsealed answer {head.status}")
--- a/packages/node/src/vaneturn_node/traffic/serving/plain.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/plain.py
@@ -78,11 +78,11 @@
 
     def _choose(self, context: RequestContext) -> BackendServer | None:
         """Choose the server that is expected to answer soonest."""
-        choosable = self._parts.list_accepting(context.service, context.avoided)
-        if not choosable:
+        candidates = self._parts.list_accepting(context.service, context.avoided)
+        if not candidates:
             return None
-        random.shuffle(choosable)
-        return min(choosable, key=self._estimate_wait)
+        random.shuffle(candidates)
+        return min(candidates, key=self._estimate_wait)
 
     def _estimate_wait(self, server: BackendServer) -> float:
         belief = self._parts.beliefs[server.id]
--- a/packages/node/src/vaneturn_node/traffic/serving/repair.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/repair.py
@@ -10,7 +10,7 @@
 from vaneturn_node.platform.servers import OrderOutcome
 from vaneturn_node.traffic.servers.exchange import TrafficParts
 from vaneturn_node.traffic.servers.lossfinding import LossFinder
-from vaneturn_node.traffic.serving.chainhold import ChainHold
+from vaneturn_node.traffic.serving.chainhold import ChainReservation
 from vaneturn_node.traffic.serving.clientstream import ClientStream
 from vaneturn_node.traffic.serving.outcomes import MayHaveRun, TryOutcome
 from vaneturn_node.traffic.serving.requests import RequestContext
@@ -41,11 +41,16 @@
     """Repairs the chain of one try."""
 
     def __init__(
-        self, parts: TrafficParts, context: RequestContext, hold: ChainHold, client: ClientStream, move: Move
+        self,
+        parts: TrafficParts,
+        context: RequestContext,
+        reservation: ChainReservation,
+        client: ClientStream,
+        move: Move,
     ) -> None:
         self._parts = parts
         self._context = context
-        self._hold = hold
+        self._reservation = reservation
         self._client = client
         self._move = move
         self._finder = LossFinder(parts, context.facts.id)
@@ -63,27 +68,27 @@
         pace = self._client.pace
         pace.mark(Stage.LOOKED, read_clock())
         borne = pace.find_stage(Stage.LOOKED)
-        losses = await self._finder.find(self._hold.chain, usual_pause=pace.usual, borne=borne)
+        losses = await self._finder.find(self._reservation.chain, usual_pause=pace.usual, borne=borne)
         if losses.is_first_gone or losses.parts:
             pace.mark(Stage.FOUND, read_clock())
         if losses.is_first_gone:
             await self._pass_lost_first()
-        elif self._hold.chain.parts[0] in losses.parts:
+        elif self._reservation.chain.parts[0] in losses.parts:
             await self._move("first server stalls", is_gone=False)
         elif losses.parts:
             await self._replace(losses.parts)
 
     async def _pass_lost_first(self) -> None:
         """Move to another try, as the answering server is unresponsive; if none can, its answer may still arrive."""
-        self._hold.note_part_lost(self._hold.chain.parts[0])
+        self._reservation.record_lost_part(self._reservation.chain.parts[0])
         await self._move("first server lost", is_gone=True)
         is_all = (
             self._client.is_begun or not self._context.route.may_repeat
         )  # the request can get no answer but this one
-        first = self._hold.first.id
+        first = self._reservation.first.id
         has_left = first not in self._parts.view.servers or self._parts.reports.is_gone(first)
         if has_left or not is_all:
-            self._hold.uncount_run()
+            self._reservation.undo_run_count()
             raise TryOverError(MayHaveRun("first server lost"))
 
     async def _replace(self, lost: list[Part]) -> None:
@@ -91,17 +96,17 @@
         context = self._context
         context.add_wait_step(f"lost {[part.server.id for part in lost]}")
         for part in lost:
-            self._hold.note_part_lost(part)
+            self._reservation.record_lost_part(part)
         for _ in range(MAX_DETOURS):
             context.avoided.update(part.server.id for part in lost)  # a move that failed has cleared them
-            chain = self._hold.find_detour()
+            chain = self._reservation.find_detour()
             if chain is None:
                 await self._move("no server in place of the lost one", is_gone=False)
                 return
-            if chain.count_crossings() > self._hold.chain.count_crossings():
+            if chain.count_crossings() > self._reservation.chain.count_crossings():
                 await self._move("another hall reads the prompt sooner than it crosses the pipe", is_gone=False)
             self._client.pace.mark(Stage.WENT_ON, read_clock())
-            outcome = await self._hold.order_detour(chain)
+            outcome = await self._reservation.order_detour(chain)
             if outcome is OrderOutcome.TAKEN:
                 return
             if outcome is not OrderOutcome.CONFLICT:
--- a/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
@@ -22,7 +22,7 @@
 from vaneturn_node.http1.link import AnswerHead, HttpLink, LinkError
 from vaneturn_node.platform.headers import build_server_headers
 from vaneturn_node.traffic.servers.exchange import TrafficParts
-from vaneturn_node.traffic.serving.chainhold import ChainHold
+from vaneturn_node.traffic.serving.chainhold import ChainReservation
 from vaneturn_node.traffic.serving.clientstream import ClientStream
 from vaneturn_node.traffic.serving.events import EventSplitter
 from vaneturn_node.traffic.serving.heads import take_head
@@ -66,7 +66,7 @@
         """
         self._parts = parts
         self._context = context
-        self._hold = ChainHold(parts, context, chooser, chain)
+        self._reservation = ChainReservation(parts, context, chooser, chain)
         self._client = client
         self._find_next = find_next
         self._on_taken = on_taken
@@ -76,11 +76,11 @@
         self._is_replaced = False  # another try has replaced it
         self._is_back = False  # it resumed while another try was opening, which has to end
         self._moves_from = float("-inf")  # monotonic time from which another try may be sent
-        self._repair = ChainRepair(parts, context, self._hold, client, self._move)
+        self._repair = ChainRepair(parts, context, self._reservation, client, self._move)
 
     @property
     def _first(self) -> BackendServer:
-        return self._hold.first
+        return self._reservation.first
 
     @property
     def _suspicion(self) -> Suspicion | None:
@@ -98,7 +98,7 @@
         except LinkError as error:
             end = await self._note_lost(error)
         except anyio.get_cancelled_exc_class():
-            self._hold.count_run()
+            self._reservation.count_run()
             raise
         finally:
             is_whole = not self._is_replaced and (end is None or isinstance(end, Answered | NotRun))
@@ -115,21 +115,21 @@
             return NotRun(f"{self._first.id} has no room by its rate limit", is_limited=True)
         context.sends += 1
         self._client.pace.mark(Stage.WENT_ON, read_clock())
-        self._hold.take()
+        self._reservation.reserve()
         self._link = link = await self._parts.pool.take(self._first.address)
         obstacle = context.claim_send(self._parts.beliefs[self._first.id])
         if obstacle is not None:
             return NotRun(obstacle)
         dispatch = context.make_dispatch(
-            self._first.name, self._hold.chain, self._client.last_event, is_resumed=self._client.is_begun
+            self._first.name, self._reservation.chain, self._client.last_event, is_resumed=self._client.is_begun
         )
         headers = build_server_headers(context.request.headers, dispatch)
-        self._hold.sent_at = read_clock()
+        self._reservation.sent_at = read_clock()
         await link.send(
             context.request.method, context.request.target, headers, context.request.body, context.time_left
         )
         head = await self._wait_for(link.read_head, HEAD_PROBE_DELAY_S)
-        failure = await take_head(self._parts, context, self._hold, link, head)
+        failure = await take_head(self._parts, context, self._reservation, link, head)
         if failure is not None:
             return failure
         if self._on_taken is not None:
@@ -152,7 +152,7 @@
             if passed:
                 self._events += passed
                 self._context.events += passed
-                self._hold.note_heard()
+                self._reservation.record_working()
                 self._note_running()
 
     def _note_running(self) -> None:
@@ -165,24 +165,24 @@
 
     async def _close(self, *, is_whole: bool) -> None:
         """Release what was reserved; a server whose answer is not whole stops its work."""
-        if not self._hold.is_taken:
+        if not self._reservation.is_reserved:
             return
-        self._hold.give_back()
+        self._reservation.release()
         if self._link is not None:
             await self._parts.release(self._link, self._first.address, is_whole=is_whole)
 
     async def _note_lost(self, error: LinkError) -> TryOutcome:
         """Record what a lost connection means for the first server and for the request; return the outcome."""
         self._context.avoided.add(self._first.id)
-        if not error.is_silence or await self._parts.hears_others({self._first.id}, self._hold.taken_at):
+        if not error.is_silence or await self._parts.hears_others({self._first.id}, self._reservation.reserved_at):
             self._parts.note_lost(self._first.id)
         if not error.was_sent:
             return NotRun(error.cause, is_silent=True)
-        self._hold.count_run()
+        self._reservation.count_run()
         if not error.is_silence and await self._parts.crash_watch.note_cut(
             self._first, self._context.content, self._suspicion
         ):
-            self._hold.uncount_run()
+            self._reservation.undo_run_count()
         return MayHaveRun(f"{error.cause}, after {self._events} events")
 
     async def _wait_for(self, read: Callable[[float], Awaitable[T]], wait: float) -> T:
@@ -198,7 +198,7 @@
                 if not error.is_silence:
                     raise
             if self._context.time_left <= 0:
-                self._hold.count_run()
+                self._reservation.count_run()
                 raise TryOverError(MayHaveRun("time is up"))
             await self._repair.look_for_loss()
             wait = SHORT_PROBE_INTERVAL_S if self._repair.should_look_soon else PROBE_INTERVAL_S
@@ -214,12 +214,12 @@
         """
         if self._on_taken is not None:
             if not is_gone:
-                self._hold.count_run()
+                self._reservation.count_run()
             raise TryOverError(MayHaveRun(cause))
         context = self._context
         if is_gone and self._suspicion is not None:
             self._parts.crash_watch.note_silent(self._first, context.content, self._suspicion)
-        runs = context.runs + (not self._hold.is_counted) - is_gone
+        runs = context.runs + (not self._reservation.is_run_counted) - is_gone
         if not context.route.may_repeat or runs >= context.route.max_attempts:
             context.add_wait_step(f"{cause}; waits")
             return
@@ -235,7 +235,7 @@
         if successor is None:
             return
         context.add_step(cause)
-        self._hold.count_run()
+        self._reservation.count_run()
         end: TryOutcome | None = None
         self._is_back = False
         async with anyio.create_task_group() as tasks:
@@ -271,7 +271,7 @@
         self._is_replaced = True
         self._context.may_have_run = True
         if is_gone:
-            self._hold.uncount_run()
+            self._reservation.undo_run_count()
         await self._close(is_whole=False)
 
 
