--- a/packages/node/src/vaneturn_node/traffic/serving/chainhold.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/chainhold.py
@@ -26,7 +26,7 @@
         self.is_run_counted = False  # as a run of the request
 
     @property
-    def first(self) -> BackendServer:
+    def first_server(self) -> BackendServer:
         """Give the first server, which receives the request and sends the answer."""
         return self.chain.first
 
@@ -71,12 +71,12 @@
 
     def record_refusal(self, facts: AnswerFacts) -> BackendServer:
         """Record a refusal; return the server at fault, which is the first one unless the refusal names another."""
-        faulty = self.first if facts.faulty is None else self._find_server(facts.faulty)
+        faulty = self.first_server if facts.faulty is None else self._find_server(facts.faulty)
         self._context.avoided.add(faulty.id)
         if facts.is_wrong_server and facts.faulty is None:
             self._parts.beliefs[faulty.id].is_replaced = True
         elif facts.faulty is not None:  # down, without the layers, or full: spares later requests the same refusal
-            fullness = self._chooser.estimate_server(faulty, is_first=faulty is self.first)
+            fullness = self._chooser.estimate_server(faulty, is_first=faulty is self.first_server)
             self._parts.note_refusal(faulty.id, fullness)
         return faulty
 
@@ -102,7 +102,7 @@
     async def order_detour(self, chain: Chain) -> OrderOutcome:
         """Order the first server to run the rest of the request over another chain."""
         assert self._context.facts.id is not None  # noqa: S101 # a request without an id is not admitted
-        outcome = await self._parts.calls.replace_parts(self.first, self._context.facts.id, list(chain.parts))
+        outcome = await self._parts.calls.replace_parts(self.first_server, self._context.facts.id, list(chain.parts))
         added = [part.server.id for part in chain.parts if part not in self.chain.parts]
         self._context.add_step(f"detour over {added} {outcome.value}")
         if outcome is OrderOutcome.TAKEN:
@@ -124,7 +124,7 @@
             belief.reserved += sign * self._chooser.tokens * (part.end - part.first)
 
     def _find_server(self, address: ServerAddress) -> BackendServer:
-        return next((part.server for part in self.chain.parts if part.server.address == address), self.first)
+        return next((part.server for part in self.chain.parts if part.server.address == address), self.first_server)
 
 
 __all__ = ["ChainReservation"]
--- a/packages/node/src/vaneturn_node/traffic/serving/clientstream.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/clientstream.py
@@ -25,10 +25,10 @@
         self.last_event = last_event
         self.is_begun = False  # the client has received a part of the answer
         self._head: AnswerHead | None = None  # of the newest try; sent with the first event
-        self.first_at: float | None = None  # monotonic time at which the first event was relayed
+        self.first_event_at: float | None = None  # monotonic time at which the first event was relayed
         self.pace = StreamPace()
 
-    def take_head(self, head: AnswerHead) -> None:
+    def set_head(self, head: AnswerHead) -> None:
         """Keep the head of a try, to be sent with the first event; the heads of tries after that event are not sent.
 
         If the head was sent at once and its server crashed before the first event, the client would see a closed
@@ -42,14 +42,14 @@
         self.is_begun = True
         await self._answer.begin(self._head.status, build_client_headers(self._head.headers))
 
-    async def pass_on(self, splitter: EventSplitter, data: bytes) -> int:
+    async def relay(self, splitter: EventSplitter, data: bytes) -> int:
         """Relay the events that are complete; return their number."""
         events = splitter.split(data)
         if not events:
             return 0
         now = read_clock()
-        if self.first_at is None:
-            self.first_at = now
+        if self.first_event_at is None:
+            self.first_event_at = now
         pause = self.pace.take_event(now)
         if pause is not None:
             self._on_pause(pause)
--- a/packages/node/src/vaneturn_node/traffic/serving/heads.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/heads.py
@@ -16,7 +16,7 @@
 MIN_BODY_TIMEOUT_S: Final = 0.05  # for the body of an answer that is no success
 
 
-async def take_head(
+async def handle_head(
     parts: TrafficParts, context: RequestContext, reservation: ChainReservation, link: HttpLink, head: AnswerHead
 ) -> TryOutcome | None:
     """Handle the head of an answer; return the outcome of the try if it is no success.
@@ -24,16 +24,16 @@
     :raises LinkError: the answer is to another request, or not from the server.
     """
     facts = read_answer_facts(head.status, head.headers)
-    belief = parts.beliefs[reservation.first.id]
+    belief = parts.beliefs[reservation.first_server.id]
     now = read_clock()
     if facts.load is not None:
         belief.take_load(facts.load[0] + facts.load[1], now)
     if facts.id is not None and facts.id != context.facts.id:
         raise LinkError("answer to another request", was_sent=True)
     if not facts.is_wrong_server:
-        parts.directives.take(reservation.first, facts.directives, reservation.sent_at)
+        parts.directives.take(reservation.first_server, facts.directives, reservation.sent_at)
     if head.status not in SUCCESS_STATUSES:
-        return await _take_failure(parts, context, reservation, link, head)
+        return await _read_failure(parts, context, reservation, link, head)
     if not facts.is_sealed:
         raise LinkError("unsealed answer", was_sent=True)
     reservation.count_run()
@@ -41,7 +41,7 @@
     return None
 
 
-async def _take_failure(
+async def _read_failure(
     parts: TrafficParts, context: RequestContext, reservation: ChainReservation, link: HttpLink, head: AnswerHead
 ) -> TryOutcome:
     """Read an answer that is no success; return the outcome of the try."""
@@ -52,11 +52,11 @@
     if facts.was_refused:
         return NotRun(f"refused with {head.status} at {reservation.record_refusal(facts).id}")
     reservation.count_run()
-    context.avoided.add(reservation.first.id)
-    parts.beliefs[reservation.first.id].record_error(read_clock())
+    context.avoided.add(reservation.first_server.id)
+    parts.beliefs[reservation.first_server.id].record_error(read_clock())
     if facts.is_sealed:
         return Answered(head.status, head.headers, b"".join(body))
     return MayHaveRun(f"unsealed answer {head.status}")
 
 
-__all__ = ["take_head"]
+__all__ = ["handle_head"]
--- a/packages/node/src/vaneturn_node/traffic/serving/repair.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/repair.py
@@ -18,22 +18,22 @@
 MAX_DETOURS: Final = 3
 
 
-class TryOverError(Exception):
-    """A try has ended before its answer; the end is the outcome of the try that replaced it, if one did."""
+class TryEndedError(Exception):
+    """A try has ended before its answer; `outcome` is that of the try that replaced it, if one did."""
 
-    def __init__(self, end: TryOutcome | None) -> None:
-        super().__init__(repr(end))
-        self.end = end
+    def __init__(self, outcome: TryOutcome | None) -> None:
+        super().__init__(repr(outcome))
+        self.outcome = outcome
 
 
-class Move(Protocol):
+class MoveToNextTry(Protocol):
     """Moves the request to another try, if there is one."""
 
-    async def __call__(self, cause: str, *, is_gone: bool) -> None:
+    async def __call__(self, cause: str, *, is_first_lost: bool) -> None:
         """Move the request for the given cause; return if there is no other try, or no server has accepted it.
 
-        :param is_gone: whether the first server is lost, so that the run on it no longer counts.
-        :raises TryOverError: another try has replaced this one, or this one cannot continue.
+        :param is_first_lost: whether the first server is lost, so that the run on it no longer counts.
+        :raises TryEndedError: another try has replaced this one, or this one cannot continue.
         """
 
 
@@ -46,7 +46,7 @@
         context: RequestContext,
         reservation: ChainReservation,
         client: ClientStream,
-        move: Move,
+        move: MoveToNextTry,
     ) -> None:
         self._parts = parts
         self._context = context
@@ -56,14 +56,14 @@
         self._finder = LossFinder(parts, context.facts.id)
 
     @property
-    def should_look_soon(self) -> bool:
+    def should_probe_soon(self) -> bool:
         """Tell whether the newest probe was inconclusive."""
         return self._finder.should_ask_soon
 
-    async def look_for_loss(self) -> None:
+    async def repair_losses(self) -> None:
         """Probe the chain for lost parts; replace them, or move the request to another try.
 
-        :raises TryOverError: another try has replaced this one, or this one cannot continue.
+        :raises TryEndedError: another try has replaced this one, or this one cannot continue.
         """
         pace = self._client.pace
         pace.mark(Stage.LOOKED, read_clock())
@@ -72,26 +72,25 @@
         if losses.is_first_gone or losses.parts:
             pace.mark(Stage.FOUND, read_clock())
         if losses.is_first_gone:
-            await self._pass_lost_first()
+            await self._handle_lost_first()
         elif self._reservation.chain.parts[0] in losses.parts:
-            await self._move("first server stalls", is_gone=False)
+            await self._move("first server stalls", is_first_lost=False)
         elif losses.parts:
-            await self._replace(losses.parts)
+            await self._replace_parts(losses.parts)
 
-    async def _pass_lost_first(self) -> None:
+    async def _handle_lost_first(self) -> None:
         """Move to another try, as the answering server is unresponsive; if none can, its answer may still arrive."""
         self._reservation.record_lost_part(self._reservation.chain.parts[0])
-        await self._move("first server lost", is_gone=True)
-        is_all = (
-            self._client.is_begun or not self._context.route.may_repeat
-        )  # the request can get no answer but this one
-        first = self._reservation.first.id
-        has_left = first not in self._parts.view.servers or self._parts.reports.is_gone(first)
-        if has_left or not is_all:
+        await self._move("first server lost", is_first_lost=True)
+        # the request can get no answer but this one
+        is_only_answer = self._client.is_begun or not self._context.route.may_repeat
+        first_id = self._reservation.first_server.id
+        has_left = first_id not in self._parts.view.servers or self._parts.reports.is_gone(first_id)
+        if has_left or not is_only_answer:
             self._reservation.undo_run_count()
-            raise TryOverError(MayHaveRun("first server lost"))
+            raise TryEndedError(MayHaveRun("first server lost"))
 
-    async def _replace(self, lost: list[Part]) -> None:
+    async def _replace_parts(self, lost: list[Part]) -> None:
         """Replace the lost parts with other servers."""
         context = self._context
         context.add_wait_step(f"lost {[part.server.id for part in lost]}")
@@ -101,17 +100,17 @@
             context.avoided.update(part.server.id for part in lost)  # a move that failed has cleared them
             chain = self._reservation.find_detour()
             if chain is None:
-                await self._move("no server in place of the lost one", is_gone=False)
+                await self._move("no server in place of the lost one", is_first_lost=False)
                 return
             if chain.count_crossings() > self._reservation.chain.count_crossings():
-                await self._move("another hall reads the prompt sooner than it crosses the pipe", is_gone=False)
+                await self._move("another hall reads the prompt sooner than it crosses the pipe", is_first_lost=False)
             self._client.pace.mark(Stage.WENT_ON, read_clock())
             outcome = await self._reservation.order_detour(chain)
             if outcome is OrderOutcome.TAKEN:
                 return
             if outcome is not OrderOutcome.CONFLICT:
                 break
-        await self._move("no detour", is_gone=False)
+        await self._move("no detour", is_first_lost=False)
 
 
-__all__ = ["ChainRepair", "Move", "TryOverError"]
+__all__ = ["ChainRepair", "MoveToNextTry", "TryEndedError"]
--- a/packages/node/src/vaneturn_node/traffic/serving/streams.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streams.py
@@ -16,7 +16,7 @@
 from vaneturn_node.traffic.serving.clientstream import ClientStream
 from vaneturn_node.traffic.serving.outcomes import Answered, MayHaveRun, NotRun, OwnAnswer, Reason, TryOutcome, refuse
 from vaneturn_node.traffic.serving.requests import RequestContext
-from vaneturn_node.traffic.serving.streamtry import OnTaken, StreamTry
+from vaneturn_node.traffic.serving.streamtry import OnAccepted, StreamTry
 
 MAX_SENDS: Final = 5  # of one request, including those that servers refused
 MAX_REFUSALS: Final = 3  # by servers without free capacity, before the request is refused
@@ -51,13 +51,13 @@
             return await self._forward(context, engine, client)
         finally:
             context.longest_pause = client.pace.longest
-            if client.first_at is not None:
-                context.first_event = client.first_at - context.request.arrived
+            if client.first_event_at is not None:
+                context.first_event = client.first_event_at - context.request.arrived
 
     async def _forward(
         self, context: RequestContext, engine: EngineProfile, client: ClientStream
     ) -> Answered | OwnAnswer | None:
-        end: TryOutcome | None = None
+        outcome: TryOutcome | None = None
         refusals = 0
         while context.sends < MAX_SENDS and refusals < MAX_REFUSALS and context.time_left > 0 and context.may_send():
             prepared = self._prepare(context, engine, client)
@@ -67,19 +67,23 @@
                 context.avoided.clear()  # lost servers are in backoff, and those that are back may serve
                 continue
             if not isinstance(prepared, StreamTry):
-                return self._give_up(context, client, end, prepared)
-            end = await prepared.run()
-            if end is None:
+                return self._give_up(context, client, outcome, prepared)
+            outcome = await prepared.run()
+            if outcome is None:
                 return None
-            if isinstance(end, Answered) and not client.is_begun:
-                return end
-            refusals += isinstance(end, NotRun) and not end.is_limited
-            if not isinstance(end, NotRun) and not context.may_run_again:
+            if isinstance(outcome, Answered) and not client.is_begun:
+                return outcome
+            refusals += isinstance(outcome, NotRun) and not outcome.is_limited
+            if not isinstance(outcome, NotRun) and not context.may_run_again:
                 break
-        return self._give_up(context, client, end)
+        return self._give_up(context, client, outcome)
 
     def _prepare(
-        self, context: RequestContext, engine: EngineProfile, client: ClientStream, on_taken: OnTaken | None = None
+        self,
+        context: RequestContext,
+        engine: EngineProfile,
+        client: ClientStream,
+        on_accepted: OnAccepted | None = None,
     ) -> StreamTry | Lack:
         """Prepare a try: choose its chain and, unless it is the first, take it from the retry budget."""
         chooser = self._make_chooser(context, engine, is_begun=client.is_begun)
@@ -93,12 +97,12 @@
             context.add_wait_step("retry budget used up")
             return Lack.BUDGET
 
-        def find_next(on_next_taken: OnTaken) -> StreamTry | None:
+        def prepare_next(on_next_accepted: OnAccepted) -> StreamTry | None:
             if (
                 context.sends >= MAX_SENDS - 1 or not context.may_send()
             ):  # the last send is kept for when no try is left
                 return None
-            prepared = self._prepare(context, engine, client, on_next_taken)
+            prepared = self._prepare(context, engine, client, on_next_accepted)
             return prepared if isinstance(prepared, StreamTry) else None
 
         return StreamTry(
@@ -107,8 +111,8 @@
             chooser=chooser,
             chain=chain,
             client=client,
-            find_next=find_next,
-            on_taken=on_taken,
+            prepare_next=prepare_next,
+            on_accepted=on_accepted,
         )
 
     def _make_chooser(self, context: RequestContext, engine: EngineProfile, *, is_begun: bool) -> ChainChooser:
@@ -131,14 +135,14 @@
         )
 
     def _give_up(
-        self, context: RequestContext, client: ClientStream, end: TryOutcome | None, lack: Lack | None = None
+        self, context: RequestContext, client: ClientStream, outcome: TryOutcome | None, lack: Lack | None = None
     ) -> OwnAnswer | None:
-        if end is None and lack is Lack.CROSSING and context.may_send():
+        if outcome is None and lack is Lack.CROSSING and context.may_send():
             return refuse(Reason.CROSSINGS_FULL, random.uniform(*CROSSINGS_RETRY_S))
         if client.is_begun:
             context.add_step("answer broken off")
             return None
-        cause = end.cause if isinstance(end, NotRun | MayHaveRun) else ""
+        cause = outcome.cause if isinstance(outcome, NotRun | MayHaveRun) else ""
         if context.may_have_run:
             return context.make_may_have_run_answer(cause)
         wait = self._parts.compute_wait(context.service)
@@ -147,7 +151,7 @@
             return refuse(Reason.KEYS_TOO_OLD, retry_after, cause)
         if wait:
             return refuse(Reason.SERVERS_LIMITED, retry_after, cause)
-        return refuse(Reason.NO_CHAIN if end is None else Reason.NOT_RUN, retry_after, cause)
+        return refuse(Reason.NO_CHAIN if outcome is None else Reason.NOT_RUN, retry_after, cause)
 
 
 __all__ = ["StreamForwarder"]
--- a/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
@@ -1,7 +1,6 @@
 """One try to get a stream over one chain: reserve, send, relay events, repair the chain when a part of it stalls.
 
-A try whose server may still resume is not ended for another one that may fail: it is kept until a server has accepted
-the other.
+A try whose server may resume is not ended for another that may fail: it is kept until a server has accepted the other.
 """
 
 from __future__ import annotations
@@ -25,9 +24,9 @@
 from vaneturn_node.traffic.serving.chainhold import ChainReservation
 from vaneturn_node.traffic.serving.clientstream import ClientStream
 from vaneturn_node.traffic.serving.events import EventSplitter
-from vaneturn_node.traffic.serving.heads import take_head
+from vaneturn_node.traffic.serving.heads import handle_head
 from vaneturn_node.traffic.serving.outcomes import Answered, MayHaveRun, NotRun, TryOutcome
-from vaneturn_node.traffic.serving.repair import ChainRepair, TryOverError
+from vaneturn_node.traffic.serving.repair import ChainRepair, TryEndedError
 from vaneturn_node.traffic.serving.requests import RequestContext
 
 HEAD_PROBE_DELAY_S: Final = 0.2  # without the first event; most arrive in 0.16 s, and the target is 0.5 s
@@ -41,7 +40,7 @@
 
 logger = logging.getLogger(__name__)
 
-OnTaken = Callable[[], Awaitable[None]]
+OnAccepted = Callable[[], Awaitable[None]]
 
 
 class StreamTry:
@@ -55,32 +54,32 @@
         chooser: ChainChooser,
         chain: Chain,
         client: ClientStream,
-        find_next: FindNext,
-        on_taken: OnTaken | None = None,
+        prepare_next: PrepareNext,
+        on_accepted: OnAccepted | None = None,
     ) -> None:
         """Prepare the send.
 
-        :param find_next: prepares another try and takes it from the retry budget; None if it lacks a chain or budget.
-        :param on_taken: called when a server has accepted the request; until then this try replaces no other, and ends
-            as soon as it cannot continue.
+        :param prepare_next: prepares another try and takes it from the retry budget; None without a chain or budget.
+        :param on_accepted: called when a server has accepted the request; until then this try replaces no other, and
+            ends as soon as it cannot continue.
         """
         self._parts = parts
         self._context = context
         self._reservation = ChainReservation(parts, context, chooser, chain)
         self._client = client
-        self._find_next = find_next
-        self._on_taken = on_taken
+        self._prepare_next = prepare_next
+        self._on_accepted = on_accepted
         self._link: HttpLink | None = None
         self._events = 0  # received over this try
-        self._heard_from = float("inf")  # monotonic time of the first of them
+        self._first_event_at = float("inf")  # monotonic time of the first of them
         self._is_replaced = False  # another try has replaced it
-        self._is_back = False  # it resumed while another try was opening, which has to end
-        self._moves_from = float("-inf")  # monotonic time from which another try may be sent
+        self._has_resumed = False  # it resumed while another try was opening, which has to end
+        self._next_move_at = float("-inf")  # monotonic time from which another try may be sent
         self._repair = ChainRepair(parts, context, self._reservation, client, self._move)
 
     @property
-    def _first(self) -> BackendServer:
-        return self._reservation.first
+    def _first_server(self) -> BackendServer:
+        return self._reservation.first_server
 
     @property
     def _suspicion(self) -> Suspicion | None:
@@ -90,38 +89,38 @@
 
     async def run(self) -> TryOutcome | None:
         """Relay the answer over the chain; return None when it has ended in full."""
-        end: TryOutcome | None = MayHaveRun("cancelled")
+        outcome: TryOutcome | None = MayHaveRun("cancelled")
         try:
-            end = await self._converse()
-        except TryOverError as over:
-            end = over.end
+            outcome = await self._converse()
+        except TryEndedError as ended:
+            outcome = ended.outcome
         except LinkError as error:
-            end = await self._note_lost(error)
+            outcome = await self._handle_lost_connection(error)
         except anyio.get_cancelled_exc_class():
             self._reservation.count_run()
             raise
         finally:
-            is_whole = not self._is_replaced and (end is None or isinstance(end, Answered | NotRun))
+            is_whole = not self._is_replaced and (outcome is None or isinstance(outcome, Answered | NotRun))
             await self._close(is_whole=is_whole)
-        self._context.may_have_run = self._context.may_have_run or isinstance(end, MayHaveRun)
-        if not self._is_replaced and isinstance(end, NotRun | MayHaveRun):
-            self._context.add_step(end.cause)
-        return end
+        self._context.may_have_run = self._context.may_have_run or isinstance(outcome, MayHaveRun)
+        if not self._is_replaced and isinstance(outcome, NotRun | MayHaveRun):
+            self._context.add_step(outcome.cause)
+        return outcome
 
     async def _converse(self) -> TryOutcome | None:
         context = self._context
-        if not await self._parts.permits.obtain(self._first.id):
+        if not await self._parts.permits.obtain(self._first_server.id):
             self._parts.find_budget(context.service).take_back(is_first=not context.sends)
-            return NotRun(f"{self._first.id} has no room by its rate limit", is_limited=True)
+            return NotRun(f"{self._first_server.id} has no room by its rate limit", is_limited=True)
         context.sends += 1
         self._client.pace.mark(Stage.WENT_ON, read_clock())
         self._reservation.reserve()
-        self._link = link = await self._parts.pool.take(self._first.address)
-        obstacle = context.claim_send(self._parts.beliefs[self._first.id])
+        self._link = link = await self._parts.pool.take(self._first_server.address)
+        obstacle = context.claim_send(self._parts.beliefs[self._first_server.id])
         if obstacle is not None:
             return NotRun(obstacle)
         dispatch = context.make_dispatch(
-            self._first.name, self._reservation.chain, self._client.last_event, is_resumed=self._client.is_begun
+            self._first_server.name, self._reservation.chain, self._client.last_event, is_resumed=self._client.is_begun
         )
         headers = build_server_headers(context.request.headers, dispatch)
         self._reservation.sent_at = read_clock()
@@ -129,39 +128,39 @@
             context.request.method, context.request.target, headers, context.request.body, context.time_left
         )
         head = await self._wait_for(link.read_head, HEAD_PROBE_DELAY_S)
-        failure = await take_head(self._parts, context, self._reservation, link, head)
+        failure = await handle_head(self._parts, context, self._reservation, link, head)
         if failure is not None:
             return failure
-        if self._on_taken is not None:
-            await self._on_taken()
-            self._on_taken = None
+        if self._on_accepted is not None:
+            await self._on_accepted()
+            self._on_accepted = None
         await self._relay_events(link, head)
         return None
 
     async def _relay_events(self, link: HttpLink, head: AnswerHead) -> None:
         splitter = EventSplitter()
-        self._client.take_head(head)
+        self._client.set_head(head)
         while True:
             overdue = self._parts.patience.compute(self._client.pace, self._context.route.pause_objective)
             data = await self._wait_for(link.read_data, overdue)
             if data is None:
                 await self._client.end(splitter)
-                self._parts.crash_watch.note_sound(self._first, self._context.content)
+                self._parts.crash_watch.note_sound(self._first_server, self._context.content)
                 return
-            passed = await self._client.pass_on(splitter, data)
-            if passed:
-                self._events += passed
-                self._context.events += passed
+            relayed = await self._client.relay(splitter, data)
+            if relayed:
+                self._events += relayed
+                self._context.events += relayed
                 self._reservation.record_working()
-                self._note_running()
+                self._record_running()
 
-    def _note_running(self) -> None:
+    def _record_running(self) -> None:
         """Record when the server has run the request for long enough to show that it does not crash servers."""
         now = read_clock()
-        self._heard_from = min(self._heard_from, now)
-        if not self._context.is_sound and now - self._heard_from >= STARTING_TIME:
+        self._first_event_at = min(self._first_event_at, now)
+        if not self._context.is_sound and now - self._first_event_at >= STARTING_TIME:
             self._context.is_sound = True
-            self._parts.crash_watch.note_sound(self._first, self._context.content)
+            self._parts.crash_watch.note_sound(self._first_server, self._context.content)
 
     async def _close(self, *, is_whole: bool) -> None:
         """Release what was reserved; a server whose answer is not whole stops its work."""
@@ -169,18 +168,20 @@
             return
         self._reservation.release()
         if self._link is not None:
-            await self._parts.release(self._link, self._first.address, is_whole=is_whole)
+            await self._parts.release(self._link, self._first_server.address, is_whole=is_whole)
 
-    async def _note_lost(self, error: LinkError) -> TryOutcome:
+    async def _handle_lost_connection(self, error: LinkError) -> TryOutcome:
         """Record what a lost connection means for the first server and for the request; return the outcome."""
-        self._context.avoided.add(self._first.id)
-        if not error.is_silence or await self._parts.hears_others({self._first.id}, self._reservation.reserved_at):
-            self._parts.note_lost(self._first.id)
+        self._context.avoided.add(self._first_server.id)
+        if not error.is_silence or await self._parts.hears_others(
+            {self._first_server.id}, self._reservation.reserved_at
+        ):
+            self._parts.note_lost(self._first_server.id)
         if not error.was_sent:
             return NotRun(error.cause, is_silent=True)
         self._reservation.count_run()
         if not error.is_silence and await self._parts.crash_watch.note_cut(
-            self._first, self._context.content, self._suspicion
+            self._first_server, self._context.content, self._suspicion
         ):
             self._reservation.undo_run_count()
         return MayHaveRun(f"{error.cause}, after {self._events} events")
@@ -189,7 +190,7 @@
         """Wait for the head or for data; while nothing arrives, probe for lost parts.
 
         :raises LinkError: the connection was lost.
-        :raises TryOverError: another try has replaced this one, or this one cannot continue.
+        :raises TryEndedError: another try has replaced this one, or this one cannot continue.
         """
         while True:
             try:
@@ -199,56 +200,55 @@
                     raise
             if self._context.time_left <= 0:
                 self._reservation.count_run()
-                raise TryOverError(MayHaveRun("time is up"))
-            await self._repair.look_for_loss()
-            wait = SHORT_PROBE_INTERVAL_S if self._repair.should_look_soon else PROBE_INTERVAL_S
+                raise TryEndedError(MayHaveRun("time is up"))
+            await self._repair.repair_losses()
+            wait = SHORT_PROBE_INTERVAL_S if self._repair.should_probe_soon else PROBE_INTERVAL_S
 
-    async def _move(self, cause: str, *, is_gone: bool) -> None:
+    async def _move(self, cause: str, *, is_first_lost: bool) -> None:
         """Move to another try, if there is one; this one is kept until a server has accepted the other.
 
-        Without this, 58 of 63 streams that were broken off in 12 s had ended a try that still worked, and then had no
-        budget for the next one.
+        Otherwise, 58 of 63 streams broken off in 12 s had ended a try that still worked and had no budget for the next.
 
-        :param is_gone: whether the first server is lost, so that the run on it no longer counts.
-        :raises TryOverError: another try has replaced this one, or this one cannot continue.
+        :param is_first_lost: whether the first server is lost, so that the run on it no longer counts.
+        :raises TryEndedError: another try has replaced this one, or this one cannot continue.
         """
-        if self._on_taken is not None:
-            if not is_gone:
+        if self._on_accepted is not None:
+            if not is_first_lost:
                 self._reservation.count_run()
-            raise TryOverError(MayHaveRun(cause))
+            raise TryEndedError(MayHaveRun(cause))
         context = self._context
-        if is_gone and self._suspicion is not None:
-            self._parts.crash_watch.note_silent(self._first, context.content, self._suspicion)
-        runs = context.runs + (not self._reservation.is_run_counted) - is_gone
+        if is_first_lost and self._suspicion is not None:
+            self._parts.crash_watch.note_silent(self._first_server, context.content, self._suspicion)
+        runs = context.runs + (not self._reservation.is_run_counted) - is_first_lost
         if not context.route.may_repeat or runs >= context.route.max_attempts:
             context.add_wait_step(f"{cause}; waits")
             return
-        if read_clock() >= self._moves_from:
-            await self._try_next(cause, is_gone=is_gone)
+        if read_clock() >= self._next_move_at:
+            await self._run_next(cause, is_first_lost=is_first_lost)
         context.add_wait_step(f"{cause}; waits")
         context.avoided.clear()  # lost and full servers are in backoff; the others may serve by now
 
-    async def _try_next(self, cause: str, *, is_gone: bool) -> None:
+    async def _run_next(self, cause: str, *, is_first_lost: bool) -> None:
         context = self._context
-        context.avoided.add(self._first.id)
-        successor = self._find_next(partial(self._give_way, is_gone=is_gone))
+        context.avoided.add(self._first_server.id)
+        successor = self._prepare_next(partial(self._yield_to_next, is_first_lost=is_first_lost))
         if successor is None:
             return
         context.add_step(cause)
         self._reservation.count_run()
-        end: TryOutcome | None = None
-        self._is_back = False
+        outcome: TryOutcome | None = None
+        self._has_resumed = False
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._watch_return, tasks.cancel_scope)
-            end = await successor.run()
+            tasks.start_soon(self._watch_for_resume, tasks.cancel_scope)
+            outcome = await successor.run()
             tasks.cancel_scope.cancel()
-        if isinstance(end, Answered) and not self._client.is_begun:
-            await self._give_way(is_gone=is_gone)
+        if isinstance(outcome, Answered) and not self._client.is_begun:
+            await self._yield_to_next(is_first_lost=is_first_lost)
         if self._is_replaced:
-            raise TryOverError(end)
-        self._moves_from = read_clock() + MOVE_BACKOFF_S
+            raise TryEndedError(outcome)
+        self._next_move_at = read_clock() + MOVE_BACKOFF_S
 
-    async def _watch_return(self, scope: anyio.CancelScope) -> None:
+    async def _watch_for_resume(self, scope: anyio.CancelScope) -> None:
         """End the next try if this one resumes before a server has accepted the next."""
         assert self._link is not None  # noqa: S101 # a try without a connection is not kept
         try:
@@ -258,23 +258,23 @@
             return
         if not self._is_replaced:
             self._context.add_step("goes on where it was")
-            self._is_back = True
+            self._has_resumed = True
             scope.cancel()
 
-    async def _give_way(self, *, is_gone: bool) -> None:
+    async def _yield_to_next(self, *, is_first_lost: bool) -> None:
         """Leave the request to another try.
 
-        :raises TryOverError: this try resumed in the same turn of the event loop; without this check both would end.
+        :raises TryEndedError: this try resumed in the same turn of the event loop; without this check both would end.
         """
-        if self._is_back:
-            raise TryOverError(MayHaveRun("the one before went on"))
+        if self._has_resumed:
+            raise TryEndedError(MayHaveRun("the one before went on"))
         self._is_replaced = True
         self._context.may_have_run = True
-        if is_gone:
+        if is_first_lost:
             self._reservation.undo_run_count()
         await self._close(is_whole=False)
 
 
-FindNext = Callable[[OnTaken], StreamTry | None]
+PrepareNext = Callable[[OnAccepted], StreamTry | None]
 
-__all__ = ["FindNext", "OnTaken", "StreamTry", "TryOutcome"]
+__all__ = ["OnAccepted", "PrepareNext", "StreamTry", "TryOutcome"]
--- a/tests/node/traffic/serving/test_streamtry.py
+++ b/tests/node/traffic/serving/test_streamtry.py
@@ -20,7 +20,7 @@
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.http1.caller import Caller
 from vaneturn_node.http1.pool import LinkPool
-from vaneturn_node.traffic.serving.repair import TryOverError
+from vaneturn_node.traffic.serving.repair import TryEndedError
 from vaneturn_node.traffic.serving.streamtry import StreamTry
 
 pytestmark = pytest.mark.anyio
@@ -33,19 +33,19 @@
     chain = Chain(80, (Part(make_server(1, "a100", layers=(0, 80)), 0, 80),))
     client: Any = SimpleNamespace()
     return StreamTry(
-        parts=parts, context=context, chooser=chooser, chain=chain, client=client, find_next=lambda _: None
+        parts=parts, context=context, chooser=chooser, chain=chain, client=client, prepare_next=lambda _: None
     )
 
 
 async def test_try_that_went_on_gives_way_no_more() -> None:
-    made = make_try()
-    made._is_back = True
-    with pytest.raises(TryOverError):
-        await made._give_way(is_gone=False)
-    assert not made._is_replaced
+    stream_try = make_try()
+    stream_try._has_resumed = True
+    with pytest.raises(TryEndedError):
+        await stream_try._yield_to_next(is_first_lost=False)
+    assert not stream_try._is_replaced
 
 
 async def test_try_that_is_still_silent_gives_way() -> None:
-    made = make_try()
-    await made._give_way(is_gone=False)
-    assert made._is_replaced
+    stream_try = make_try()
+    await stream_try._yield_to_next(is_first_lost=False)
+    assert stream_try._is_replaced
--- a/tests/rig/ablation.py
+++ b/tests/rig/ablation.py
@@ -120,7 +120,7 @@
     Mechanism(
         "asking-servers",
         "a loss that no connection shows",
-        (Edit(f"{TRAFFIC}/serving/streamtry.py", "            await self._repair.look_for_loss()\n", ""),),
+        (Edit(f"{TRAFFIC}/serving/streamtry.py", "            await self._repair.repair_losses()\n", ""),),
     ),
     Mechanism(
         "plan-move",
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -21,8 +21,8 @@
         (
             Edit(
                 f"{TRAFFIC}/serving/streamtry.py",
-                "if not await self._parts.permits.obtain(self._first.id):",
-                "if self._first.id is None:",
+                "if not await self._parts.permits.obtain(self._first_server.id):",
+                "if self._first_server.id is None:",
             ),
         ),
     ),
@@ -140,7 +140,7 @@
         (
             Edit(
                 f"{TRAFFIC}/serving/repair.py",
-                "            await self._replace(losses.parts)\n",
+                "            await self._replace_parts(losses.parts)\n",
                 "            return\n",
             ),
         ),
@@ -163,7 +163,7 @@
             Edit(
                 f"{TRAFFIC}/serving/streamtry.py",
                 '            context.add_wait_step(f"{cause}; waits")\n            return\n',
-                "            raise TryOverError(MayHaveRun(cause))\n",
+                "            raise TryEndedError(MayHaveRun(cause))\n",
             ),
         ),
     ),
