--- a/packages/node/src/vaneturn_node/traffic/serving/chainhold.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/chainhold.py
@@ -38,7 +38,7 @@
         self._context.add_step(f"over {parts_text}, fullest {self._chooser.estimate_fullness(self.chain):.2f}")
         self._add_load(1)
 
-    def release(self) -> None:
+    def cancel(self) -> None:
         """Release what was reserved."""
         self.is_reserved = False
         self._add_load(-1)
@@ -118,10 +118,10 @@
 
     def _add_load(self, sign: int) -> None:
         for part in self.chain.parts:
-            belief = self._parts.beliefs[part.server.id]
-            belief.in_progress += sign
-            belief.leading += sign * (part is self.chain.parts[0])
-            belief.reserved += sign * self._chooser.tokens * (part.end - part.first)
+            server_status = self._parts.beliefs[part.server.id]
+            server_status.in_progress += sign
+            server_status.leading += sign * (part is self.chain.parts[0])
+            server_status.reserved += sign * self._chooser.tokens * (part.end - part.first)
 
     def _find_server(self, address: ServerAddress) -> BackendServer:
         return next((part.server for part in self.chain.parts if part.server.address == address), self.first_server)
--- a/packages/node/src/vaneturn_node/traffic/serving/heads.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/heads.py
@@ -24,10 +24,10 @@
     :raises LinkError: the answer is to another request, or not from the server.
     """
     facts = read_answer_facts(head.status, head.headers)
-    belief = parts.beliefs[reservation.first_server.id]
+    server_status = parts.beliefs[reservation.first_server.id]
     now = read_clock()
     if facts.load is not None:
-        belief.take_load(facts.load[0] + facts.load[1], now)
+        server_status.take_load(facts.load[0] + facts.load[1], now)
     if facts.id is not None and facts.id != context.facts.id:
         raise LinkError("answer to another request", was_sent=True)
     if not facts.is_wrong_server:
@@ -37,7 +37,7 @@
     if not facts.is_sealed:
         raise LinkError("unsealed answer", was_sent=True)
     reservation.count_run()
-    belief.record_success(now - reservation.reserved_at)
+    server_status.record_success(now - reservation.reserved_at)
     return None
 
 
--- a/packages/node/src/vaneturn_node/traffic/serving/outcomes.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/outcomes.py
@@ -13,8 +13,8 @@
     """The server did not and will not run the request: no byte of it was sent, or the server said so."""
 
     cause: str
-    is_silent: bool = False  # the server did not even accept a connection
-    is_limited: bool = False  # it was not sent, because of the server's rate limit
+    is_unreachable: bool = False  # the server did not even accept a connection
+    is_rate_limited: bool = False  # it was not sent, because of the server's rate limit
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/node/src/vaneturn_node/traffic/serving/plain.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/plain.py
@@ -37,8 +37,8 @@
     async def forward(self, context: RequestContext) -> Answered | OwnAnswer:
         """Return the answer of a server, or one of this node if no server gave one."""
         budget = self._parts.find_budget(context.service)
-        last: TryOutcome | None = None
-        failure: Answered | None = None  # a server's error answer, returned if no other server gives a better one
+        last_outcome: TryOutcome | None = None
+        error_answer: Answered | None = None  # a server's error answer, returned if no other server gives a better one
         while context.sends < MAX_SENDS and context.time_left > 0:
             server = self._choose(context)
             if server is None or not context.may_send():
@@ -52,28 +52,30 @@
                 budget.take_back(is_first=not context.sends)
                 context.add_step(f"{server.id} has no room by its rate limit")
                 continue
-            last = await self._try(context, server)
-            if isinstance(last, Answered):
+            last_outcome = await self._try(context, server)
+            if isinstance(last_outcome, Answered):
                 self._parts.crash_watch.note_sound(server, context.content)
-                if last.status < MIN_SERVER_ERROR_STATUS or not context.may_run_again:
-                    return last
-                failure = last
-            elif isinstance(last, MayHaveRun) and not context.may_run_again:
+                if last_outcome.status < MIN_SERVER_ERROR_STATUS or not context.may_run_again:
+                    return last_outcome
+                error_answer = last_outcome
+            elif isinstance(last_outcome, MayHaveRun) and not context.may_run_again:
                 break
             context.avoided.add(server.id)
-        if failure is not None:
-            return failure
-        return self._give_up(context, last)
+        if error_answer is not None:
+            return error_answer
+        return self._give_up(context, last_outcome)
 
-    def _give_up(self, context: RequestContext, last: TryOutcome | None) -> OwnAnswer:
+    def _give_up(self, context: RequestContext, last_outcome: TryOutcome | None) -> OwnAnswer:
         if context.may_have_run:
-            return context.make_may_have_run_answer(last.cause if isinstance(last, MayHaveRun | NotRun) else "")
+            return context.make_may_have_run_answer(
+                last_outcome.cause if isinstance(last_outcome, MayHaveRun | NotRun) else ""
+            )
         wait = self._parts.compute_wait(context.service)
         retry_after = wait + RETRY_AFTER_S * (1 + random.random())
         if not context.may_send():
             return refuse(Reason.KEYS_TOO_OLD, retry_after)
-        if isinstance(last, NotRun):
-            return refuse(Reason.NOT_RUN, retry_after, last.cause)
+        if isinstance(last_outcome, NotRun):
+            return refuse(Reason.NOT_RUN, retry_after, last_outcome.cause)
         return refuse(Reason.SERVERS_LIMITED if wait else Reason.NO_SERVER, retry_after)
 
     def _choose(self, context: RequestContext) -> BackendServer | None:
@@ -85,38 +87,38 @@
         return min(candidates, key=self._estimate_wait)
 
     def _estimate_wait(self, server: BackendServer) -> float:
-        belief = self._parts.beliefs[server.id]
-        others = belief.told_load if read_clock() - belief.told_at < REPORTED_LOAD_TTL_S else 0
-        busy = max(belief.in_progress, others)
-        return (belief.latency or ASSUMED_LATENCY_S) * (1 + busy / max(1, server.slots))
+        server_status = self._parts.beliefs[server.id]
+        reported_load = server_status.told_load if read_clock() - server_status.told_at < REPORTED_LOAD_TTL_S else 0
+        load = max(server_status.in_progress, reported_load)
+        return (server_status.latency or ASSUMED_LATENCY_S) * (1 + load / max(1, server.slots))
 
     async def _try(self, context: RequestContext, server: BackendServer) -> TryOutcome:
-        belief = self._parts.beliefs[server.id]
+        server_status = self._parts.beliefs[server.id]
         started = read_clock()
-        limit = self._limit_try(context)
+        timeout_s = self._compute_try_timeout(context)
         context.sends += 1
-        belief.in_progress += 1
+        server_status.in_progress += 1
         try:
-            outcome = await self._exchange(context, server, limit)
+            outcome = await self._exchange(context, server, timeout_s)
         finally:
-            belief.in_progress -= 1
+            server_status.in_progress -= 1
         context.may_have_run = context.may_have_run or isinstance(outcome, MayHaveRun)
         seconds = read_clock() - started
         if isinstance(outcome, Answered):
             context.add_step(f"{server.id} answered {outcome.status}")
             if outcome.status >= MIN_SERVER_ERROR_STATUS:
-                belief.record_error(read_clock())
+                server_status.record_error(read_clock())
             else:
-                belief.record_success(seconds)
+                server_status.record_success(seconds)
         else:
             context.add_step(f"{server.id} {outcome.cause}")
-            if isinstance(outcome, MayHaveRun) or outcome.is_silent:
-                belief.latency = max(belief.latency, seconds)
+            if isinstance(outcome, MayHaveRun) or outcome.is_unreachable:
+                server_status.latency = max(server_status.latency, seconds)
                 if await self._parts.hears_others({server.id}, started):
-                    belief.record_failure(read_clock())
+                    server_status.record_failure(read_clock())
         return outcome
 
-    def _limit_try(self, context: RequestContext) -> float:
+    def _compute_try_timeout(self, context: RequestContext) -> float:
         """Compute the timeout of a try in seconds; that of a safe request leaves time for a second try."""
         if context.route.repeatability is Repeatability.SAFE and context.runs + 1 < context.route.max_attempts:
             return min(
@@ -125,27 +127,27 @@
             )
         return context.time_left
 
-    async def _exchange(self, context: RequestContext, server: BackendServer, limit: float) -> TryOutcome:
+    async def _exchange(self, context: RequestContext, server: BackendServer, timeout_s: float) -> TryOutcome:
         link: HttpLink | None = None
         is_whole = False
         try:
-            with anyio.fail_after(limit):
-                longest = ANY_IDLE_TIME if context.route.may_repeat else UNSAFE_IDLE_LIMIT_S
-                link = await self._parts.pool.take(server.address, longest)
+            with anyio.fail_after(timeout_s):
+                max_idle = ANY_IDLE_TIME if context.route.may_repeat else UNSAFE_IDLE_LIMIT_S
+                link = await self._parts.pool.take(server.address, max_idle)
                 obstacle = context.claim_send(self._parts.beliefs[server.id])
                 if obstacle is not None:
                     return NotRun(obstacle)
-                outcome = await self._converse(context, server, link, limit)
+                outcome = await self._send_and_receive(context, server, link, timeout_s)
                 is_whole = isinstance(outcome, Answered | NotRun)
                 return outcome
         except TimeoutError:
             if link is None:
-                return NotRun("no connection in time", is_silent=True)
+                return NotRun("no connection in time", is_unreachable=True)
             context.runs += 1
             return MayHaveRun("no answer in time")
         except LinkError as error:
             if not error.was_sent:
-                return NotRun(error.cause, is_silent=True)
+                return NotRun(error.cause, is_unreachable=True)
             context.runs += 1
             if not error.is_silence:
                 await self._parts.crash_watch.note_cut(server, context.content, Suspicion.UNHEARD)
@@ -154,31 +156,31 @@
             if link is not None:
                 await self._parts.release(link, server.address, is_whole=is_whole)
 
-    async def _converse(
-        self, context: RequestContext, server: BackendServer, link: HttpLink, limit: float
+    async def _send_and_receive(
+        self, context: RequestContext, server: BackendServer, link: HttpLink, timeout_s: float
     ) -> TryOutcome:
         request = context.request
         headers = build_server_headers(request.headers, context.make_dispatch(server.name))
         sent_at = read_clock()
-        await link.send(request.method, request.target, headers, request.body, limit)
-        head = await link.read_head(limit)
+        await link.send(request.method, request.target, headers, request.body, timeout_s)
+        head = await link.read_head(timeout_s)
         facts = read_answer_facts(head.status, head.headers)
-        parts = []
-        while (data := await link.read_data(limit)) is not None:
-            parts.append(data)
-        belief = self._parts.beliefs[server.id]
+        body = []
+        while (data := await link.read_data(timeout_s)) is not None:
+            body.append(data)
+        server_status = self._parts.beliefs[server.id]
         if facts.load is not None:
-            belief.take_load(facts.load[0] + facts.load[1], read_clock())
+            server_status.take_load(facts.load[0] + facts.load[1], read_clock())
         if facts.id is not None and facts.id != context.facts.id:
             raise LinkError("answer to another request", was_sent=True)
         if not facts.is_wrong_server:
             self._parts.directives.take(server, facts.directives, sent_at)
         if facts.was_refused:
-            belief.is_replaced = belief.is_replaced or facts.is_wrong_server
+            server_status.is_replaced = server_status.is_replaced or facts.is_wrong_server
             return NotRun(f"refused with {head.status}")
         context.runs += 1
         if facts.is_sealed:
-            return Answered(head.status, head.headers, b"".join(parts))
+            return Answered(head.status, head.headers, b"".join(body))
         return MayHaveRun(f"unsealed answer {head.status}")
 
 
--- a/packages/node/src/vaneturn_node/traffic/serving/requests.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/requests.py
@@ -69,11 +69,11 @@
         """
         return self.is_key_valid() and not self.is_barred
 
-    def claim_send(self, belief: ServerBelief) -> str | None:
+    def claim_send(self, server_status: ServerBelief) -> str | None:
         """Claim a send right before it is made; return what forbids it, None if nothing does."""
         if not self.may_send():
             return "keys too old"
-        return None if belief.claim_send(read_clock()) else "the server asked for no more requests"
+        return None if server_status.claim_send(read_clock()) else "the server asked for no more requests"
 
     @property
     def expires_at(self) -> float:
--- a/packages/node/src/vaneturn_node/traffic/serving/streams.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streams.py
@@ -27,7 +27,7 @@
 CHAIN_SEARCH_INTERVAL_S: Final = 0.2  # between searches for a chain that can resume a begun answer
 
 
-class Lack(Enum):
+class Shortage(Enum):
     """What is missing for another try of a request."""
 
     CHAIN = "chain"
@@ -60,8 +60,8 @@
         outcome: TryOutcome | None = None
         refusals = 0
         while context.sends < MAX_SENDS and refusals < MAX_REFUSALS and context.time_left > 0 and context.may_send():
-            prepared = self._prepare(context, engine, client)
-            if prepared in {Lack.CHAIN, Lack.CROSSING} and client.is_begun:
+            prepared = self._prepare_try(context, engine, client)
+            if prepared in {Shortage.CHAIN, Shortage.CROSSING} and client.is_begun:
                 context.add_wait_step("no chain")
                 await anyio.sleep(CHAIN_SEARCH_INTERVAL_S)
                 context.avoided.clear()  # lost servers are in backoff, and those that are back may serve
@@ -73,36 +73,36 @@
                 return None
             if isinstance(outcome, Answered) and not client.is_begun:
                 return outcome
-            refusals += isinstance(outcome, NotRun) and not outcome.is_limited
+            refusals += isinstance(outcome, NotRun) and not outcome.is_rate_limited
             if not isinstance(outcome, NotRun) and not context.may_run_again:
                 break
         return self._give_up(context, client, outcome)
 
-    def _prepare(
+    def _prepare_try(
         self,
         context: RequestContext,
         engine: EngineProfile,
         client: ClientStream,
         on_accepted: OnAccepted | None = None,
-    ) -> StreamTry | Lack:
+    ) -> StreamTry | Shortage:
         """Prepare a try: choose its chain and, unless it is the first, take it from the retry budget."""
         chooser = self._make_chooser(context, engine, is_begun=client.is_begun)
         chain = chooser.choose(self._parts.list_choosable(context.service, context.avoided))
         if chain is None:
-            return Lack.CROSSING if chooser.is_crossing_refused else Lack.CHAIN
+            return Shortage.CROSSING if chooser.is_crossing_refused else Shortage.CHAIN
         budget = self._parts.find_budget(context.service)
         if not context.sends:
             budget.record_first()
         elif not budget.spend():
             context.add_wait_step("retry budget used up")
-            return Lack.BUDGET
+            return Shortage.BUDGET
 
         def prepare_next(on_next_accepted: OnAccepted) -> StreamTry | None:
             if (
                 context.sends >= MAX_SENDS - 1 or not context.may_send()
             ):  # the last send is kept for when no try is left
                 return None
-            prepared = self._prepare(context, engine, client, on_next_accepted)
+            prepared = self._prepare_try(context, engine, client, on_next_accepted)
             return prepared if isinstance(prepared, StreamTry) else None
 
         return StreamTry(
@@ -135,9 +135,13 @@
         )
 
     def _give_up(
-        self, context: RequestContext, client: ClientStream, outcome: TryOutcome | None, lack: Lack | None = None
+        self,
+        context: RequestContext,
+        client: ClientStream,
+        outcome: TryOutcome | None,
+        shortage: Shortage | None = None,
     ) -> OwnAnswer | None:
-        if outcome is None and lack is Lack.CROSSING and context.may_send():
+        if outcome is None and shortage is Shortage.CROSSING and context.may_send():
             return refuse(Reason.CROSSINGS_FULL, random.uniform(*CROSSINGS_RETRY_S))
         if client.is_begun:
             context.add_step("answer broken off")
--- a/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
@@ -91,7 +91,7 @@
         """Relay the answer over the chain; return None when it has ended in full."""
         outcome: TryOutcome | None = MayHaveRun("cancelled")
         try:
-            outcome = await self._converse()
+            outcome = await self._send_and_relay()
         except TryEndedError as ended:
             outcome = ended.outcome
         except LinkError as error:
@@ -107,11 +107,11 @@
             self._context.add_step(outcome.cause)
         return outcome
 
-    async def _converse(self) -> TryOutcome | None:
+    async def _send_and_relay(self) -> TryOutcome | None:
         context = self._context
         if not await self._parts.permits.obtain(self._first_server.id):
             self._parts.find_budget(context.service).take_back(is_first=not context.sends)
-            return NotRun(f"{self._first_server.id} has no room by its rate limit", is_limited=True)
+            return NotRun(f"{self._first_server.id} has no room by its rate limit", is_rate_limited=True)
         context.sends += 1
         self._client.pace.mark(Stage.WENT_ON, read_clock())
         self._reservation.reserve()
@@ -128,9 +128,9 @@
             context.request.method, context.request.target, headers, context.request.body, context.time_left
         )
         head = await self._wait_for(link.read_head, HEAD_PROBE_DELAY_S)
-        failure = await handle_head(self._parts, context, self._reservation, link, head)
-        if failure is not None:
-            return failure
+        outcome = await handle_head(self._parts, context, self._reservation, link, head)
+        if outcome is not None:
+            return outcome
         if self._on_accepted is not None:
             await self._on_accepted()
             self._on_accepted = None
@@ -166,7 +166,7 @@
         """Release what was reserved; a server whose answer is not whole stops its work."""
         if not self._reservation.is_reserved:
             return
-        self._reservation.release()
+        self._reservation.cancel()
         if self._link is not None:
             await self._parts.release(self._link, self._first_server.address, is_whole=is_whole)
 
@@ -178,7 +178,7 @@
         ):
             self._parts.note_lost(self._first_server.id)
         if not error.was_sent:
-            return NotRun(error.cause, is_silent=True)
+            return NotRun(error.cause, is_unreachable=True)
         self._reservation.count_run()
         if not error.is_silence and await self._parts.crash_watch.note_cut(
             self._first_server, self._context.content, self._suspicion
--- a/tests/rig/ablation.py
+++ b/tests/rig/ablation.py
@@ -94,7 +94,11 @@
     Mechanism(
         "idle-bound",
         "a request that may not run twice lost on a connection that the server forgot",
-        (Edit(f"{TRAFFIC}/serving/plain.py", "longest = ANY_IDLE_TIME if context.route.may_repeat else", "longest ="),),
+        (
+            Edit(
+                f"{TRAFFIC}/serving/plain.py", "max_idle = ANY_IDLE_TIME if context.route.may_repeat else", "max_idle ="
+            ),
+        ),
     ),
     Mechanism(
         "retry-shares",
@@ -107,13 +111,13 @@
         (
             Edit(
                 f"{TRAFFIC}/serving/plain.py",
-                "if last.status < MIN_SERVER_ERROR_STATUS or not context.may_run_again:",
-                "if last.status < MIN_SERVER_ERROR_STATUS or context.runs:",
+                "if last_outcome.status < MIN_SERVER_ERROR_STATUS or not context.may_run_again:",
+                "if last_outcome.status < MIN_SERVER_ERROR_STATUS or context.runs:",
             ),
             Edit(
                 f"{TRAFFIC}/serving/plain.py",
-                "elif isinstance(last, MayHaveRun) and not context.may_run_again:",
-                "elif isinstance(last, MayHaveRun):",
+                "elif isinstance(last_outcome, MayHaveRun) and not context.may_run_again:",
+                "elif isinstance(last_outcome, MayHaveRun):",
             ),
         ),
     ),
