--- a/packages/node/src/vaneturn_node/traffic/serving/clientstream.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/clientstream.py
@@ -62,8 +62,8 @@
     async def end(self, splitter: EventSplitter) -> None:
         """End the answer, which is complete."""
         await self._begin()
-        if splitter.rest:
-            await self._answer.send_part(splitter.rest)
+        if splitter.remainder:
+            await self._answer.send_part(splitter.remainder)
         await self._answer.end()
 
 
--- a/packages/node/src/vaneturn_node/traffic/serving/events.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/events.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import Final
 
-_END: Final = re.compile(rb"\r\n\r\n|\n\n|\r\r")
-_ID: Final = re.compile(rb"(?:^|[\r\n])id:[ ]?([^\r\n]*)")
+_EVENT_END: Final = re.compile(rb"\r\n\r\n|\n\n|\r\r")
+_EVENT_ID: Final = re.compile(rb"(?:^|[\r\n])id:[ ]?([^\r\n]*)")
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,24 +22,24 @@
     """Buffers the bytes of an incomplete event."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._remainder = b""
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Give the bytes after the last complete event."""
-        return self._rest
+        return self._remainder
 
     def split(self, data: bytes) -> list[Event]:
         """Add bytes; return the events that are now complete."""
-        rest = self._rest + data
+        remainder = self._remainder + data
         events = []
         start = 0
-        for match in _END.finditer(rest):
-            piece = rest[start : match.end()]
-            named = _ID.findall(piece)
-            events.append(Event(piece, named[-1].decode("latin-1") if named else None))
+        for match in _EVENT_END.finditer(remainder):
+            event = remainder[start : match.end()]
+            ids = _EVENT_ID.findall(event)
+            events.append(Event(event, ids[-1].decode("latin-1") if ids else None))
             start = match.end()
-        self._rest = rest[start:]
+        self._remainder = remainder[start:]
         return events
 
 
--- a/packages/node/src/vaneturn_node/traffic/serving/metrics.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/metrics.py
@@ -33,16 +33,16 @@
     def observe(self, route: str, customer: str, ending: str, seconds: float) -> None:
         """Record a request that has ended."""
         self.endings[ending] += 1
-        labels = _bound(route, self._routes, MAX_ROUTES), _bound(customer, self._customers, MAX_CUSTOMERS)
+        labels = _limit_label(route, self._routes, MAX_ROUTES), _limit_label(customer, self._customers, MAX_CUSTOMERS)
         latencies = self.latencies.setdefault(labels, Latencies())
         latencies.counts[bisect_left(BUCKETS, seconds)] += 1
         latencies.seconds += seconds
 
 
-def _bound(label: str, known: set[str], most: int) -> str:
-    if label not in known and len(known) >= most:
+def _limit_label(label: str, known_labels: set[str], max_labels: int) -> str:
+    if label not in known_labels and len(known_labels) >= max_labels:
         return OTHER_LABEL
-    known.add(label)
+    known_labels.add(label)
     return label
 
 
--- a/tests/node/traffic/serving/test_events.py
+++ b/tests/node/traffic/serving/test_events.py
@@ -18,7 +18,7 @@
     splitter = EventSplitter()
     events = [event for one, other in itertools.pairwise(edges) for event in splitter.split(STREAM[one:other])]
     passed = b"".join(event.data for event in events)
-    assert passed + splitter.rest == STREAM[:end]
+    assert passed + splitter.remainder == STREAM[:end]
     assert all(event.data.endswith(b"\n\n") for event in events)
     assert [event.id for event in events] == [str(number) for number in range(1, len(events) + 1)]
 
@@ -27,4 +27,4 @@
 def test_any_bytes_are_passed_on_or_kept(data: bytes) -> None:
     splitter = EventSplitter()
     events = splitter.split(data)
-    assert b"".join(event.data for event in events) + splitter.rest == data
+    assert b"".join(event.data for event in events) + splitter.remainder == data
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -119,7 +119,7 @@
             Edit(
                 f"{TRAFFIC}/serving/clientstream.py",
                 "        events = splitter.split(data)\n",
-                "        events = splitter.split(data)\n        await self._answer.send_part(splitter.rest)\n",
+                "        events = splitter.split(data)\n        await self._answer.send_part(splitter.remainder)\n",
             ),
         ),
     ),
