--- a/packages/node/src/vaneturn_node/traffic/process/daemon.py
+++ b/packages/node/src/vaneturn_node/traffic/process/daemon.py
@@ -37,7 +37,7 @@
 from vaneturn_node.traffic.process.stopping import Lifecycle
 from vaneturn_node.traffic.servers.exchange import TrafficParts
 from vaneturn_node.traffic.servers.reports import ReportBoard
-from vaneturn_node.traffic.serving.answering import Answerer
+from vaneturn_node.traffic.serving.answering import RequestHandler
 from vaneturn_node.traffic.serving.endedtraffic import EndedTraffic
 from vaneturn_node.traffic.serving.metrics import TrafficMetrics
 from vaneturn_node.traffic.sharing.changeclient import ChangeClient
@@ -79,7 +79,7 @@
             settings.vm, hall, bounds, self._view, self._beliefs, self._pool, calls, reports, hearing, caller
         )
         ended = EndedTraffic()
-        self._answerer = Answerer(parts, metrics, ended)
+        self._request_handler = RequestHandler(parts, metrics, ended)
         self._placer = Placer(self._tenure, self._view, calls)
         self._lifecycle = Lifecycle(bounds.stop_s)
         log = ChangeLog()
@@ -143,7 +143,7 @@
                 tasks.start_soon(self._losses.run)
                 tasks.start_soon(self._crashes.run)
                 tasks.start_soon(self._pool.run)
-                tasks.start_soon(watch_suspensions, self._answerer.note_suspended)
+                tasks.start_soon(watch_suspensions, self._request_handler.shorten_timeouts)
                 await self._listen(tasks)
                 logger.info("serving", extra={"address": self._settings.client_address, "node": self.id})
                 tasks.start_soon(self._await_end, tasks.cancel_scope)
@@ -151,7 +151,7 @@
                     if number == signal.SIGHUP:
                         self._reload()
                     elif not self._lifecycle.is_stopping:
-                        logger.info("stopping", extra={"in_progress": self._answerer.in_progress})
+                        logger.info("stopping", extra={"in_progress": self._request_handler.in_progress})
                         self._lifecycle.stop()
                         tasks.start_soon(self._give_up_duties)
         logger.info("stopped")
@@ -174,10 +174,10 @@
         while True:
             await anyio.sleep(STOP_LOOK)
             if self._client_listener is not None and self._lifecycle.is_closed():
-                logger.info("no more clients", extra={"in_progress": self._answerer.in_progress})
+                logger.info("no more clients", extra={"in_progress": self._request_handler.in_progress})
                 await self._client_listener.aclose()
                 self._client_listener = None
-            if self._lifecycle.is_over(self._answerer.in_progress):
+            if self._lifecycle.is_over(self._request_handler.in_progress):
                 break
         scope.cancel()
 
@@ -199,13 +199,13 @@
         logger.info("settings reloaded", extra={"changed": changed})
 
     async def _serve_client(self, stream: SocketStream) -> None:
-        await self._serve(stream, self._answerer.answer)
+        await self._serve(stream, self._request_handler.handle)
 
     async def _serve_readiness(self, stream: SocketStream) -> None:
         await self._serve(stream, self._answer_readiness)
 
     async def _serve_metrics(self, stream: SocketStream) -> None:
-        self._inspection.in_progress = self._answerer.in_progress
+        self._inspection.in_progress = self._request_handler.in_progress
         await self._serve(stream, self._inspection.answer)
 
     async def _serve_peer(self, stream: SocketStream) -> None:
--- a/packages/node/src/vaneturn_node/traffic/serving/answering.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/answering.py
@@ -34,20 +34,20 @@
 logger = logging.getLogger(__name__)
 
 
-class Answerer:
+class RequestHandler:
     """Handles the requests of all client connections."""
 
     def __init__(self, parts: TrafficParts, metrics: TrafficMetrics, ended: EndedTraffic) -> None:
         self._parts = parts
-        self._ended = ended
+        self._ended_traffic = ended
         self._metrics = metrics
         self._plain = PlainForwarder(parts)
         self._streams = StreamForwarder(parts)
-        self._open: dict[CancelScope, RequestContext] = {}
+        self._open_requests: dict[CancelScope, RequestContext] = {}
         self.in_progress = 0
-        parts.crashes.listeners.append(self._end_barred)
+        parts.crashes.listeners.append(self._cancel_barred)
 
-    async def answer(self, request: ClientRequest, answer: ClientAnswer) -> None:
+    async def handle(self, request: ClientRequest, answer: ClientAnswer) -> None:
         """Admit and forward one request, write its answer and log its outcome."""
         facts = read_request_facts(request.headers)
         context: RequestContext | None = None
@@ -57,12 +57,12 @@
         try:
             if self._parts.view.configuration is None:
                 await self._parts.first_reading.wait(facts.deadline, request.arrived)
-            admitted = self._admit(request, facts)
-            if isinstance(admitted, OwnAnswer):
-                result = admitted
+            admission = self._admit(request, facts)
+            if isinstance(admission, OwnAnswer):
+                result = admission
             else:
-                context = admitted
-                result = await self._forward_in_time(context, answer)
+                context = admission
+                result = await self._forward_before_deadline(context, answer)
             ending = await self._finish(result, answer)
         finally:
             self.in_progress -= 1
@@ -74,12 +74,12 @@
         if configuration is None:
             return refuse(Reason.NO_CONFIGURATION, NO_CONFIGURATION_RETRY_S, self._parts.first_reading.describe())
         route = configuration.find_route(facts.host, request.path)
-        are_valid = self._parts.view.are_keys_valid()
+        has_valid_keys = self._parts.view.are_keys_valid()
         if route is None:
-            return OwnAnswer(404, Reason.NO_ROUTE) if are_valid else refuse(Reason.KEYS_TOO_OLD, OLD_KEYS_RETRY_S)
+            return OwnAnswer(404, Reason.NO_ROUTE) if has_valid_keys else refuse(Reason.KEYS_TOO_OLD, OLD_KEYS_RETRY_S)
         customer = configuration.customers.get(facts.key) if facts.key is not None else None
         if not route.is_public and configuration.needs_keys:
-            if not are_valid:
+            if not has_valid_keys:
                 return refuse(Reason.KEYS_TOO_OLD, OLD_KEYS_RETRY_S)
             if customer is None:
                 return OwnAnswer(401, Reason.NO_KEY if facts.key is None else Reason.UNKNOWN_KEY)
@@ -100,20 +100,22 @@
             return True
         if not self._parts.view.are_keys_valid() or customer is None or facts.key is None:
             return False
-        now = configuration.customers.get(facts.key)
-        return now is not None and now.name == customer.name
+        current = configuration.customers.get(facts.key)
+        return current is not None and current.name == customer.name
 
-    async def _forward_in_time(self, context: RequestContext, answer: ClientAnswer) -> Answered | OwnAnswer | None:
+    async def _forward_before_deadline(
+        self, context: RequestContext, answer: ClientAnswer
+    ) -> Answered | OwnAnswer | None:
         """Forward a request; at its deadline, give the final answer, or break off an answer that has begun."""
         if context.time_left <= 0:  # it expired while waiting for the first configuration
             return refuse(Reason.TIMEOUT, OLD_KEYS_RETRY_S)
         result: Answered | OwnAnswer | None = None
         with anyio.move_on_after(context.time_left) as scope:
-            self._open[scope] = context
+            self._open_requests[scope] = context
             try:
                 result = await self._forward(context, answer)
             finally:
-                del self._open[scope]
+                del self._open_requests[scope]
         if not isinstance(result, Answered) and not answer.is_begun and context.is_barred:
             return context.make_barred_answer()
         if not scope.cancelled_caught:
@@ -125,15 +127,15 @@
             return OwnAnswer(504, Reason.TIMEOUT)
         return refuse(Reason.TIMEOUT, OLD_KEYS_RETRY_S)
 
-    def _end_barred(self) -> None:
+    def _cancel_barred(self) -> None:
         """Cancel barred requests that still wait for their first event, before their servers run them and crash."""
-        for scope, context in self._open.items():
+        for scope, context in self._open_requests.items():
             if context.sends and not context.events and context.is_barred:
                 scope.cancel()
 
-    def note_suspended(self, seconds: float) -> None:
+    def shorten_timeouts(self, seconds: float) -> None:
         """Shorten open timeouts by the time this VM was suspended: the event loop's clock stood still meanwhile."""
-        for scope in self._open:
+        for scope in self._open_requests:
             scope.deadline -= seconds
 
     async def _forward(self, context: RequestContext, answer: ClientAnswer) -> Answered | OwnAnswer | None:
@@ -173,7 +175,7 @@
         self._metrics.observe(route, customer, ending, seconds)
         configuration = self._parts.view.configuration
         pause = (context.longest_pause if context is not None else None) or NO_PAUSE
-        ended = TrafficRequest(
+        record = TrafficRequest(
             request=facts.id,
             route=route,
             customer=customer,
@@ -192,8 +194,8 @@
             went_on=round(pause.went_on, 3),
             content=format_content(context.content) if context is not None else "",
         )
-        self._ended.add(facts.id, ended)
-        logger.info("request ended", extra=msgspec.structs.asdict(ended))
+        self._ended_traffic.add(facts.id, record)
+        logger.info("request ended", extra=msgspec.structs.asdict(record))
 
 
 def _choose_service(route: TrafficRoute) -> ServiceName:
@@ -208,4 +210,4 @@
     return service.engine if service is not None else None
 
 
-__all__ = ["Answerer"]
+__all__ = ["RequestHandler"]
