--- a/packages/node/src/vaneturn_node/traffic/process/daemon.py
+++ b/packages/node/src/vaneturn_node/traffic/process/daemon.py
@@ -38,7 +38,7 @@
 from vaneturn_node.traffic.servers.exchange import TrafficParts
 from vaneturn_node.traffic.servers.reports import ReportBoard
 from vaneturn_node.traffic.serving.answering import RequestHandler
-from vaneturn_node.traffic.serving.endedtraffic import EndedTraffic
+from vaneturn_node.traffic.serving.endedtraffic import RequestHistory
 from vaneturn_node.traffic.serving.metrics import TrafficMetrics
 from vaneturn_node.traffic.sharing.changeclient import ChangeClient
 from vaneturn_node.traffic.sharing.changelog import ChangeLog
@@ -78,7 +78,7 @@
         parts = TrafficParts(
             settings.vm, hall, bounds, self._view, self._beliefs, self._pool, calls, reports, hearing, caller
         )
-        ended = EndedTraffic()
+        ended = RequestHistory()
         self._request_handler = RequestHandler(parts, metrics, ended)
         self._placer = Placer(self._tenure, self._view, calls)
         self._lifecycle = Lifecycle(bounds.stop_s)
--- a/packages/node/src/vaneturn_node/traffic/process/inspection.py
+++ b/packages/node/src/vaneturn_node/traffic/process/inspection.py
@@ -15,7 +15,7 @@
 from vaneturn_node.traffic.following.follower import StoreFollower
 from vaneturn_node.traffic.process.stopping import Lifecycle
 from vaneturn_node.traffic.servers.exchange import TrafficParts
-from vaneturn_node.traffic.serving.endedtraffic import EndedTraffic
+from vaneturn_node.traffic.serving.endedtraffic import RequestHistory
 from vaneturn_node.traffic.serving.metrics import TrafficMetrics
 
 REQUESTS_PATH: Final = "/requests/"
@@ -33,7 +33,7 @@
         node: NodeId,
         parts: TrafficParts,
         metrics: TrafficMetrics,
-        ended: EndedTraffic,
+        ended: RequestHistory,
         tenure: Tenure,
         follower: StoreFollower,
         lifecycle: Lifecycle,
--- a/packages/node/src/vaneturn_node/traffic/process/metricstext.py
+++ b/packages/node/src/vaneturn_node/traffic/process/metricstext.py
@@ -14,7 +14,7 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, HistogramMetricFamily, Metric
 from prometheus_client.registry import Collector
 
-from vaneturn_node.traffic.serving.metrics import BUCKETS, TrafficMetrics
+from vaneturn_node.traffic.serving.metrics import LATENCY_BUCKETS_S, TrafficMetrics
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
     def _collect_seconds(self) -> HistogramMetricFamily:
         labels = ["route", "customer"]
         seconds = HistogramMetricFamily("vaneturn_request_seconds", "Time of a whole request", labels=labels)
-        bounds = [str(bound) for bound in (*BUCKETS, "+Inf")]
+        bounds = [str(bound) for bound in (*LATENCY_BUCKETS_S, "+Inf")]
         for (route, customer), latencies in self._metrics.latencies.items():
             totals = itertools.accumulate(latencies.counts)
             seconds.add_metric([route, customer], list(zip(bounds, totals, strict=True)), latencies.seconds)
--- a/packages/node/src/vaneturn_node/traffic/serving/answering.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/answering.py
@@ -20,7 +20,7 @@
 from vaneturn_node.platform.directives import RETRY_AFTER
 from vaneturn_node.platform.headers import RequestFacts, build_client_headers, read_request_facts
 from vaneturn_node.traffic.servers.exchange import TrafficParts
-from vaneturn_node.traffic.serving.endedtraffic import EndedTraffic
+from vaneturn_node.traffic.serving.endedtraffic import RequestHistory
 from vaneturn_node.traffic.serving.metrics import TrafficMetrics
 from vaneturn_node.traffic.serving.outcomes import Answered, OwnAnswer, Reason, refuse
 from vaneturn_node.traffic.serving.plain import PlainForwarder
@@ -37,9 +37,9 @@
 class RequestHandler:
     """Handles the requests of all client connections."""
 
-    def __init__(self, parts: TrafficParts, metrics: TrafficMetrics, ended: EndedTraffic) -> None:
+    def __init__(self, parts: TrafficParts, metrics: TrafficMetrics, history: RequestHistory) -> None:
         self._parts = parts
-        self._ended_traffic = ended
+        self._history = history
         self._metrics = metrics
         self._plain = PlainForwarder(parts)
         self._streams = StreamForwarder(parts)
@@ -194,7 +194,7 @@
             went_on=round(pause.went_on, 3),
             content=format_content(context.content) if context is not None else "",
         )
-        self._ended_traffic.add(facts.id, record)
+        self._history.add(facts.id, record)
         logger.info("request ended", extra=msgspec.structs.asdict(record))
 
 
--- a/packages/node/src/vaneturn_node/traffic/serving/endedtraffic.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/endedtraffic.py
@@ -11,7 +11,7 @@
 KEPT_REQUESTS: Final = 256  # about 1 KB each
 
 
-class EndedTraffic:
+class RequestHistory:
     """The newest requests that have ended."""
 
     def __init__(self) -> None:
@@ -30,4 +30,4 @@
         return self._requests.get(request)
 
 
-__all__ = ["EndedTraffic"]
+__all__ = ["RequestHistory"]
--- a/packages/node/src/vaneturn_node/traffic/serving/metrics.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/metrics.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-BUCKETS: Final = (0.025, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0)  # seconds, upper bounds
+LATENCY_BUCKETS_S: Final = (0.025, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0)  # upper bounds
 MAX_ROUTES: Final = 32  # labels; further routes share one
 MAX_CUSTOMERS: Final = 64
 OTHER_LABEL: Final = "other"
@@ -17,7 +17,9 @@
 class Latencies:
     """The latency histogram of the requests of one route and customer."""
 
-    counts: list[int] = field(default_factory=lambda: [0] * (len(BUCKETS) + 1))  # by bucket; the last one is unbounded
+    counts: list[int] = field(
+        default_factory=lambda: [0] * (len(LATENCY_BUCKETS_S) + 1)
+    )  # by bucket, and one beyond them
     seconds: float = 0.0  # sum over all requests
 
 
@@ -35,7 +37,7 @@
         self.endings[ending] += 1
         labels = _limit_label(route, self._routes, MAX_ROUTES), _limit_label(customer, self._customers, MAX_CUSTOMERS)
         latencies = self.latencies.setdefault(labels, Latencies())
-        latencies.counts[bisect_left(BUCKETS, seconds)] += 1
+        latencies.counts[bisect_left(LATENCY_BUCKETS_S, seconds)] += 1
         latencies.seconds += seconds
 
 
@@ -46,4 +48,4 @@
     return label
 
 
-__all__ = ["BUCKETS", "Latencies", "TrafficMetrics"]
+__all__ = ["LATENCY_BUCKETS_S", "Latencies", "TrafficMetrics"]
