--- a/packages/node/src/vaneturn_node/traffic/process/daemon.py
+++ b/packages/node/src/vaneturn_node/traffic/process/daemon.py
@@ -38,8 +38,8 @@
 from vaneturn_node.traffic.servers.exchange import TrafficParts
 from vaneturn_node.traffic.servers.reports import ReportBoard
 from vaneturn_node.traffic.serving.answering import RequestHandler
-from vaneturn_node.traffic.serving.endedtraffic import RequestHistory
 from vaneturn_node.traffic.serving.metrics import TrafficMetrics
+from vaneturn_node.traffic.serving.requesthistory import RequestHistory
 from vaneturn_node.traffic.sharing.changeclient import ChangeClient
 from vaneturn_node.traffic.sharing.changelog import ChangeLog
 from vaneturn_node.traffic.sharing.changeserver import ChangeServer
--- a/packages/node/src/vaneturn_node/traffic/process/inspection.py
+++ b/packages/node/src/vaneturn_node/traffic/process/inspection.py
@@ -15,8 +15,8 @@
 from vaneturn_node.traffic.following.follower import StoreFollower
 from vaneturn_node.traffic.process.stopping import Lifecycle
 from vaneturn_node.traffic.servers.exchange import TrafficParts
-from vaneturn_node.traffic.serving.endedtraffic import RequestHistory
 from vaneturn_node.traffic.serving.metrics import TrafficMetrics
+from vaneturn_node.traffic.serving.requesthistory import RequestHistory
 
 REQUESTS_PATH: Final = "/requests/"
 _JSON: Final = [(b"content-type", b"application/json")]
--- a/packages/node/src/vaneturn_node/traffic/serving/answering.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/answering.py
@@ -20,10 +20,10 @@
 from vaneturn_node.platform.directives import RETRY_AFTER
 from vaneturn_node.platform.headers import RequestFacts, build_client_headers, read_request_facts
 from vaneturn_node.traffic.servers.exchange import TrafficParts
-from vaneturn_node.traffic.serving.endedtraffic import RequestHistory
 from vaneturn_node.traffic.serving.metrics import TrafficMetrics
 from vaneturn_node.traffic.serving.outcomes import Answered, OwnAnswer, Reason, refuse
 from vaneturn_node.traffic.serving.plain import PlainForwarder
+from vaneturn_node.traffic.serving.requesthistory import RequestHistory
 from vaneturn_node.traffic.serving.requests import RequestContext
 from vaneturn_node.traffic.serving.streams import StreamForwarder
 
--- a/packages/node/src/vaneturn_node/traffic/serving/heads.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/heads.py
@@ -8,7 +8,7 @@
 from vaneturn_node.http1.link import AnswerHead, HttpLink, LinkError
 from vaneturn_node.platform.headers import read_answer_facts
 from vaneturn_node.traffic.servers.exchange import TrafficParts
-from vaneturn_node.traffic.serving.chainhold import ChainReservation
+from vaneturn_node.traffic.serving.chainreservation import ChainReservation
 from vaneturn_node.traffic.serving.outcomes import Answered, MayHaveRun, NotRun, TryOutcome
 from vaneturn_node.traffic.serving.requests import RequestContext
 
--- a/packages/node/src/vaneturn_node/traffic/serving/repair.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/repair.py
@@ -10,7 +10,7 @@
 from vaneturn_node.platform.servers import OrderOutcome
 from vaneturn_node.traffic.servers.exchange import TrafficParts
 from vaneturn_node.traffic.servers.lossfinding import LossFinder
-from vaneturn_node.traffic.serving.chainhold import ChainReservation
+from vaneturn_node.traffic.serving.chainreservation import ChainReservation
 from vaneturn_node.traffic.serving.clientstream import ClientStream
 from vaneturn_node.traffic.serving.outcomes import MayHaveRun, TryOutcome
 from vaneturn_node.traffic.serving.requests import RequestContext
--- a/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
@@ -21,7 +21,7 @@
 from vaneturn_node.http1.link import AnswerHead, HttpLink, LinkError
 from vaneturn_node.platform.headers import build_server_headers
 from vaneturn_node.traffic.servers.exchange import TrafficParts
-from vaneturn_node.traffic.serving.chainhold import ChainReservation
+from vaneturn_node.traffic.serving.chainreservation import ChainReservation
 from vaneturn_node.traffic.serving.clientstream import ClientStream
 from vaneturn_node.traffic.serving.events import EventSplitter
 from vaneturn_node.traffic.serving.heads import handle_head
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -150,7 +150,7 @@
         f"{SYSTEM}/test_streams.py::test_part_that_was_refused_is_left_alone_by_the_next_requests",
         (
             Edit(
-                f"{TRAFFIC}/serving/chainhold.py",
+                f"{TRAFFIC}/serving/chainreservation.py",
                 "        elif facts.faulty is not None:",
                 "        elif facts is None:",
             ),
