--- a/packages/node/src/vaneturn_node/traffic/serving/requests.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/requests.py
@@ -1,4 +1,4 @@
-"""The state of one admitted request: what it asks for, its deadline and its tries so far."""
+"""The context of one client request: what it asks for, its deadline and its tries so far."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass
 class RequestContext:
-    """A request that was admitted."""
+    """An admitted request and the state of its tries."""
 
     request: ClientRequest
     facts: RequestFacts
@@ -64,7 +64,7 @@
     def may_send(self) -> bool:
         """Tell whether it may still be sent to a server.
 
-        Sends to second servers, over other chains and of resumed streams all check this: where none of them did, one
+        Sends to second servers, over other chains and of resumed streams all check this: without these checks, one
         request crashed 26 servers in 70 s.
         """
         return self.is_key_valid() and not self.is_barred
--- a/packages/node/src/vaneturn_node/traffic/serving/streams.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streams.py
@@ -98,9 +98,8 @@
             return Shortage.BUDGET
 
         def prepare_next(on_next_accepted: OnAccepted) -> StreamTry | None:
-            if (
-                context.sends >= MAX_SENDS - 1 or not context.may_send()
-            ):  # the last send is kept for when no try is left
+            # the last send is kept for when no try is left
+            if context.sends >= MAX_SENDS - 1 or not context.may_send():
                 return None
             prepared = self._prepare_try(context, engine, client, on_next_accepted)
             return prepared if isinstance(prepared, StreamTry) else None
--- a/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
@@ -29,7 +29,7 @@
 from vaneturn_node.traffic.serving.repair import ChainRepair, TryEndedError
 from vaneturn_node.traffic.serving.requests import RequestContext
 
-HEAD_PROBE_DELAY_S: Final = 0.2  # without the first event; most arrive in 0.16 s, and the target is 0.5 s
+HEAD_PROBE_DELAY_S: Final = 0.2  # before the first event; most arrive in 0.16 s, and the target is 0.5 s
 PROBE_INTERVAL_S: Final = 0.1  # between probes while nothing arrives
 # the same after an inconclusive probe (the first server missed one response, or a part had just worked for another
 # request): with 0.1 s here, the loss was found that much later in a third of the pauses
@@ -207,7 +207,7 @@
     async def _move(self, cause: str, *, is_first_lost: bool) -> None:
         """Move to another try, if there is one; this one is kept until a server has accepted the other.
 
-        Otherwise, 58 of 63 streams broken off in 12 s had ended a try that still worked and had no budget for the next.
+        Without this, 58 of 63 streams broken off in 12 s had ended a working try and then had no budget for the next.
 
         :param is_first_lost: whether the first server is lost, so that the run on it no longer counts.
         :raises TryEndedError: another try has replaced this one, or this one cannot continue.
