--- a/packages/node/src/vaneturn_node/traffic/serving/chainreservation.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/chainreservation.py
@@ -36,12 +36,12 @@
         self.reserved_at = read_clock()
         parts_text = " ".join(f"{part.server.id}[{part.first},{part.end})" for part in self.chain.parts)
         self._context.add_step(f"over {parts_text}, fullest {self._chooser.estimate_fullness(self.chain):.2f}")
-        self._add_load(1)
+        self._adjust_load(1)
 
     def cancel(self) -> None:
         """Release what was reserved."""
         self.is_reserved = False
-        self._add_load(-1)
+        self._adjust_load(-1)
 
     def count_run(self) -> None:
         """Count that the request may have run on the first server, at most once per try."""
@@ -106,9 +106,9 @@
         added = [part.server.id for part in chain.parts if part not in self.chain.parts]
         self._context.add_step(f"detour over {added} {outcome.value}")
         if outcome is OrderOutcome.TAKEN:
-            self._add_load(-1)
+            self._adjust_load(-1)
             self.chain = chain
-            self._add_load(1)
+            self._adjust_load(1)
         elif outcome is OrderOutcome.CONFLICT:  # one of them has no free capacity, or no longer holds its part
             self._context.avoided.update(added)
         return outcome
@@ -116,7 +116,7 @@
     def _is_avoided(self, part: Part) -> bool:
         return part.server.id in self._context.avoided
 
-    def _add_load(self, sign: int) -> None:
+    def _adjust_load(self, sign: int) -> None:
         for part in self.chain.parts:
             server_status = self._parts.beliefs[part.server.id]
             server_status.in_progress += sign
--- a/packages/node/src/vaneturn_node/traffic/serving/plain.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/plain.py
@@ -94,7 +94,7 @@
 
     async def _try(self, context: RequestContext, server: BackendServer) -> TryOutcome:
         server_status = self._parts.beliefs[server.id]
-        started = read_clock()
+        started_at = read_clock()
         timeout_s = self._compute_try_timeout(context)
         context.sends += 1
         server_status.in_progress += 1
@@ -103,7 +103,7 @@
         finally:
             server_status.in_progress -= 1
         context.may_have_run = context.may_have_run or isinstance(outcome, MayHaveRun)
-        seconds = read_clock() - started
+        seconds = read_clock() - started_at
         if isinstance(outcome, Answered):
             context.add_step(f"{server.id} answered {outcome.status}")
             if outcome.status >= MIN_SERVER_ERROR_STATUS:
@@ -114,7 +114,7 @@
             context.add_step(f"{server.id} {outcome.cause}")
             if isinstance(outcome, MayHaveRun) or outcome.is_unreachable:
                 server_status.latency = max(server_status.latency, seconds)
-                if await self._parts.hears_others({server.id}, started):
+                if await self._parts.hears_others({server.id}, started_at):
                     server_status.record_failure(read_clock())
         return outcome
 
--- a/packages/node/src/vaneturn_node/traffic/serving/requests.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/requests.py
@@ -128,8 +128,8 @@
 
     def make_barred_answer(self) -> OwnAnswer:
         """Make the final answer to a request that crashes servers; status 400 tells clients not to repeat it."""
-        crashes = ", ".join(self.crashes.list_ends_under(self.content))
-        return OwnAnswer(400, Reason.ENDS_SERVERS, cause=f"servers ended when they began to run it: {crashes}")
+        ended = ", ".join(self.crashes.list_ends_under(self.content))
+        return OwnAnswer(400, Reason.ENDS_SERVERS, cause=f"servers ended when they began to run it: {ended}")
 
     def make_may_have_run_answer(self, cause: str) -> OwnAnswer:
         """Make the final answer to a request that may have run."""
--- a/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
@@ -186,7 +186,7 @@
             self._reservation.undo_run_count()
         return MayHaveRun(f"{error.cause}, after {self._events} events")
 
-    async def _wait_for(self, read: Callable[[float], Awaitable[T]], wait: float) -> T:
+    async def _wait_for(self, read: Callable[[float], Awaitable[T]], delay_s: float) -> T:
         """Wait for the head or for data; while nothing arrives, probe for lost parts.
 
         :raises LinkError: the connection was lost.
@@ -194,7 +194,7 @@
         """
         while True:
             try:
-                return await read(wait)
+                return await read(delay_s)
             except LinkError as error:
                 if not error.is_silence:
                     raise
@@ -202,7 +202,7 @@
                 self._reservation.count_run()
                 raise TryEndedError(MayHaveRun("time is up"))
             await self._repair.repair_losses()
-            wait = SHORT_PROBE_INTERVAL_S if self._repair.should_probe_soon else PROBE_INTERVAL_S
+            delay_s = SHORT_PROBE_INTERVAL_S if self._repair.should_probe_soon else PROBE_INTERVAL_S
 
     async def _move(self, cause: str, *, is_first_lost: bool) -> None:
         """Move to another try, if there is one; this one is kept until a server has accepted the other.
