--- a/tests/node/traffic/serving/test_events.py
+++ b/tests/node/traffic/serving/test_events.py
@@ -14,11 +14,11 @@
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=12), st.integers(0, len(STREAM)))
 def test_events_are_whole_however_the_bytes_come(cuts: list[int], end: int) -> None:
-    edges = [0, *sorted(min(cut, end) for cut in cuts), end]
+    bounds = [0, *sorted(min(cut, end) for cut in cuts), end]
     splitter = EventSplitter()
-    events = [event for one, other in itertools.pairwise(edges) for event in splitter.split(STREAM[one:other])]
-    passed = b"".join(event.data for event in events)
-    assert passed + splitter.remainder == STREAM[:end]
+    events = [event for start, stop in itertools.pairwise(bounds) for event in splitter.split(STREAM[start:stop])]
+    relayed = b"".join(event.data for event in events)
+    assert relayed + splitter.remainder == STREAM[:end]
     assert all(event.data.endswith(b"\n\n") for event in events)
     assert [event.id for event in events] == [str(number) for number in range(1, len(events) + 1)]
 
--- a/tests/system/platform/test_streams.py
+++ b/tests/system/platform/test_streams.py
@@ -36,16 +36,16 @@
     traffic.fleet.answer_tokens = 60
     async with anyio.create_task_group() as tasks:
 
-        async def lose() -> None:
+        async def lose_server() -> None:
             await wait_for(lambda: any(run.tokens for run in traffic.fleet.runs))
             address = traffic.fleet.runs[0].tokens[0][index].address
-            server = next(one for one in servers if one.address == address)
+            server = next(candidate for candidate in servers if candidate.address == address)
             if is_dark:
                 server.is_dark = True
             else:
                 await server.crash()
 
-        tasks.start_soon(lose)
+        tasks.start_soon(lose_server)
         answer = await traffic.ask("/letter/1", X_Deadline_Ms="15000")
     assert answer.status_code == 200
     assert list_ids(answer.text) == list(range(1, 61))
@@ -111,13 +111,13 @@
     traffic.fleet.token_time = 0.03
     async with anyio.create_task_group() as tasks:
 
-        async def lose() -> None:
+        async def lose_server() -> None:
             await wait_for(lambda: any(len(run.tokens) > 3 for run in traffic.fleet.runs))
             lost = next(server for server in servers if server.held and server.held[0] > 0)
             await lost.crash(is_listed=False)
             await traffic.fleet.add(f"127.0.0.1:{find_port()}", "llm", "east", "big")
 
-        tasks.start_soon(lose)
+        tasks.start_soon(lose_server)
         answer = await traffic.ask("/notice/1")
     assert list_ids(answer.text) == list(range(1, 41))
     assert len(traffic.fleet.runs) == 1
@@ -139,11 +139,11 @@
     traffic.fleet.token_time = 1.0  # the first event is not there yet
     async with anyio.create_task_group() as tasks:
 
-        async def lose() -> None:
+        async def lose_server() -> None:
             await wait_for(lambda: bool(traffic.fleet.runs))
             next(server for server in servers if server.id == traffic.fleet.runs[0].server).is_dark = True
 
-        tasks.start_soon(lose)
+        tasks.start_soon(lose_server)
         answer = await traffic.ask("/notice/1")
     assert answer.status_code in {502, 504}
     assert len(traffic.fleet.runs) == 1
