--- a/packages/core/src/vaneturn_core/placing/parts.py
+++ b/packages/core/src/vaneturn_core/placing/parts.py
@@ -1,4 +1,4 @@
-"""Parts of models: what an engine can hold, and which of it a pipeline wants where."""
+"""Parts of models: the units that engines hold, and the parts that a pipeline needs on each server."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     end: int
 
     def covers(self, other: Part) -> bool:
-        """Tell whether an engine that holds this can run the other."""
-        same = (self.model, self.version, self.adapter) == (other.model, other.version, other.adapter)
-        return same and self.first <= other.first and other.end <= self.end
+        """Tell whether an engine that holds this part can run the other one."""
+        is_same_model = (self.model, self.version, self.adapter) == (other.model, other.version, other.adapter)
+        return is_same_model and self.first <= other.first and other.end <= self.end
 
     def __str__(self) -> str:
         adapter = f"+{self.adapter}" if self.adapter else ""
@@ -32,33 +32,33 @@
 
 
 class Holdings(Struct, frozen=True, tag="holdings", array_like=True):
-    """What an engine says of itself when a link opens, and after each change or order."""
+    """An engine's report of its parts, sent when a link opens and after each change or order."""
 
-    fence: int  # the greatest of all orders seen; 0 on an engine that checks none
+    fence: int  # the highest fence seen in an order; 0 on an engine that does not check fences
     held: tuple[Part, ...]  # ready for new sessions
     loading: tuple[Part, ...]
-    ending: tuple[Part, ...]  # kept for the sessions that are on it, closed to new ones
+    ending: tuple[Part, ...]  # kept for the sessions that use them, closed to new ones
 
     @property
     def target(self) -> frozenset[Part]:
-        """What the newest order asked for."""
+        """The parts that the newest order requested."""
         return frozenset((*self.held, *self.loading))
 
 
 def make_part(pipeline: Pipeline, stage: Stage) -> Part:
-    """Name the part of a pipeline that a stage runs."""
+    """Make the part of a pipeline that a stage runs."""
     return Part(pipeline.model, pipeline.version, pipeline.adapter, stage.first, stage.end)
 
 
 def list_versions(pipeline: Pipeline) -> list[Pipeline]:
-    """List a pipeline as it is declared and, while a version is rolled out, as it was before."""
+    """List the pipeline as declared and, during a rollout, a copy of it with the previous version."""
     if pipeline.previous_version in {None, pipeline.version}:
         return [pipeline]
     return [pipeline, msgspec.structs.replace(pipeline, version=pipeline.previous_version)]
 
 
 def group_parts(pipelines: Iterable[Pipeline]) -> Mapping[VmId, frozenset[Part]]:
-    """Group what pipelines want by the server that is to hold it."""
+    """Group the parts that pipelines need by the server that should hold them."""
     grouped: defaultdict[VmId, set[Part]] = defaultdict(set)
     for pipeline in pipelines:
         for stage in pipeline.stages:
@@ -66,20 +66,29 @@
     return {vm: frozenset(parts) for vm, parts in grouped.items()}
 
 
-def list_lacking(pipeline: Pipeline, held: Mapping[VmId, Collection[Part]]) -> set[VmId]:
-    """List the servers of a pipeline that do not hold its parts; what is not known of is taken to hold them."""
+def list_lacking_servers(pipeline: Pipeline, held: Mapping[VmId, Collection[Part]]) -> set[VmId]:
+    """List the servers of a pipeline that lack some of its parts; servers missing from `held` count as complete."""
     return {vm for vm, wanted in group_parts([pipeline]).items() if vm in held and not is_holding(held[vm], wanted)}
 
 
 def is_holding(held: Collection[Part], wanted: Iterable[Part]) -> bool:
     """Tell whether an engine can run every wanted part now."""
-    return all(any(part.covers(one) for part in held) for one in wanted)
+    return all(any(part.covers(wanted_part) for part in held) for wanted_part in wanted)
 
 
 def count_bytes(configuration: Configuration, parts: Iterable[Part]) -> int:
-    """Give the bytes of weights of parts; 0 for models that no pipeline names any more."""
+    """Sum the weight bytes of parts; models that no pipeline uses any more count as 0."""
     layer_bytes = {pipeline.model: pipeline.layer_bytes for pipeline in configuration.pipelines}
     return sum(layer_bytes.get(part.model, 0) * (part.end - part.first) for part in parts)
 
 
-__all__ = ["Holdings", "Part", "count_bytes", "group_parts", "is_holding", "list_lacking", "list_versions", "make_part"]
+__all__ = [
+    "Holdings",
+    "Part",
+    "count_bytes",
+    "group_parts",
+    "is_holding",
+    "list_lacking_servers",
+    "list_versions",
+    "make_part",
+]
