--- a/packages/node/src/vaneturn_node/traffic/process/daemon.py
+++ b/packages/node/src/vaneturn_node/traffic/process/daemon.py
@@ -1,4 +1,4 @@
-"""A node on the users' platform: wiring, start, reload and planned stop."""
+"""A node on the users' platform: construction, start, reload of the settings and planned stop."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 from vaneturn_node.traffic.duties.tenure import Tenure
 from vaneturn_node.traffic.following.follower import StoreFollower
 from vaneturn_node.traffic.following.viewkeeping import ViewKeeper
-from vaneturn_node.traffic.process.inspection import Inspection
+from vaneturn_node.traffic.process.inspection import OperatorHandler
 from vaneturn_node.traffic.process.stopping import Lifecycle
 from vaneturn_node.traffic.servers.exchange import TrafficParts
 from vaneturn_node.traffic.servers.reports import ReportBoard
-from vaneturn_node.traffic.serving.answering import Answerer
-from vaneturn_node.traffic.serving.endedtraffic import EndedTraffic
+from vaneturn_node.traffic.serving.answering import RequestHandler
 from vaneturn_node.traffic.serving.metrics import TrafficMetrics
+from vaneturn_node.traffic.serving.requesthistory import RequestHistory
 from vaneturn_node.traffic.sharing.changeclient import ChangeClient
 from vaneturn_node.traffic.sharing.changelog import ChangeLog
 from vaneturn_node.traffic.sharing.changeserver import ChangeServer
@@ -49,18 +49,18 @@
 from vaneturn_node.traffic.sharing.losssharing import LossSharing
 
 READINESS_PATH: Final = "/api/readyz"
-STOP_LOOK: Final = 0.05  # seconds between looks whether the last request has ended
-BACKLOG: Final = 512  # connections that wait to be accepted
+STOP_POLL_INTERVAL_S: Final = 0.05  # between checks whether the process may end
+BACKLOG: Final = 512  # connections waiting to be accepted
 
 logger = logging.getLogger(__name__)
 
 
 class TrafficNode:
-    """All parts of a node."""
+    """The components of a node and its listeners."""
 
     def __init__(self, settings: TrafficSettings, path: Path) -> None:
         self._settings = settings
-        self._path = path
+        self._settings_path = path
         self.id = NodeId(uuid.uuid4().hex[:16])
         bounds = settings.bounds
         self._pool = LinkPool()
@@ -78,51 +78,53 @@
         parts = TrafficParts(
             settings.vm, hall, bounds, self._view, self._beliefs, self._pool, calls, reports, hearing, caller
         )
-        ended = EndedTraffic()
-        self._answerer = Answerer(parts, metrics, ended)
+        ended = RequestHistory()
+        self._request_handler = RequestHandler(parts, metrics, ended)
         self._placer = Placer(self._tenure, self._view, calls)
         self._lifecycle = Lifecycle(bounds.stop_s)
-        log = ChangeLog()
+        change_log = ChangeLog()
         times = RelayTimes.derive(min(bounds.leaving_ms, bounds.change_ms) / 1000)
-        board = parts.board
-        losses = self._losses = LossSharing(settings.vm, parts, caller, log)
+        load_board = parts.board
+        losses = self._losses = LossSharing(settings.vm, parts, caller, change_log)
         crashes = self._crashes = CrashSharing(settings.vm, parts.crashes, self._view, caller)
-        self._changes = ChangeServer(
-            log=log,
+        self._change_server = ChangeServer(
+            log=change_log,
             view=self._view,
             times=times,
             beliefs=self._beliefs,
-            board=board,
+            board=load_board,
             losses=losses,
             crashes=crashes,
             permits=parts.permits,
         )
-        peers = ChangeClient(
+        change_client = ChangeClient(
             caller=caller,
             times=times,
             vm=settings.vm,
             view=self._view,
             beliefs=self._beliefs,
-            board=board,
+            board=load_board,
             losses=losses,
             crashes=crashes,
             permits=parts.permits,
         )
-        self._sharing = LoadSharing(vm=settings.vm, view=self._view, beliefs=self._beliefs, board=board, peers=peers)
+        self._sharing = LoadSharing(
+            vm=settings.vm, view=self._view, beliefs=self._beliefs, board=load_board, peers=change_client
+        )
         self._follower = StoreFollower(
             vm=settings.vm,
             store=self._store,
             view=self._view,
             keeper=ViewKeeper(self._tenure, parts),
-            log=log,
-            peers=peers,
-            server=self._changes,
-            reader=LongValueReader(vm=settings.vm, store=self._store, view=self._view, log=log, caller=caller),
+            log=change_log,
+            peers=change_client,
+            server=self._change_server,
+            reader=LongValueReader(vm=settings.vm, store=self._store, view=self._view, log=change_log, caller=caller),
             times=times,
             first_reading=parts.first_reading,
         )
         self._client_listener: Listener[SocketStream] | None = None
-        self._inspection = Inspection(
+        self._operator_handler = OperatorHandler(
             vm=settings.vm,
             node=self.id,
             parts=parts,
@@ -134,7 +136,7 @@
         )
 
     async def run(self) -> None:
-        """Run until a planned stop has ended."""
+        """Run until a planned stop is complete."""
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
             async with anyio.create_task_group() as tasks:
                 for background in (self._follower.run, self._tenure.run, self._registration.run, self._placer.run):
@@ -143,52 +145,52 @@
                 tasks.start_soon(self._losses.run)
                 tasks.start_soon(self._crashes.run)
                 tasks.start_soon(self._pool.run)
-                tasks.start_soon(watch_suspensions, self._answerer.note_suspended)
+                tasks.start_soon(watch_suspensions, self._request_handler.shorten_timeouts)
                 await self._listen(tasks)
                 logger.info("serving", extra={"address": self._settings.client_address, "node": self.id})
-                tasks.start_soon(self._await_end, tasks.cancel_scope)
-                async for number in signals:
-                    if number == signal.SIGHUP:
+                tasks.start_soon(self._await_stop, tasks.cancel_scope)
+                async for signal_number in signals:
+                    if signal_number == signal.SIGHUP:
                         self._reload()
                     elif not self._lifecycle.is_stopping:
-                        logger.info("stopping", extra={"in_progress": self._answerer.in_progress})
+                        logger.info("stopping", extra={"in_progress": self._request_handler.in_progress})
                         self._lifecycle.stop()
-                        tasks.start_soon(self._give_up_duties)
+                        tasks.start_soon(self._release_duties)
         logger.info("stopped")
 
     async def _listen(self, tasks: anyio.abc.TaskGroup) -> None:
-        served: list[tuple[str, Callable[[SocketStream], Awaitable[None]]]] = [
+        listeners: list[tuple[str, Callable[[SocketStream], Awaitable[None]]]] = [
             (self._settings.client_address, self._serve_client),
             (self._settings.readiness_address, self._serve_readiness),
             (self._settings.metrics_address, self._serve_metrics),
             (self._settings.peer_address, self._serve_peer),
         ]
-        for address, serve in served:
+        for address, serve in listeners:
             host, _, port = address.rpartition(":")
             listener = await anyio.create_tcp_listener(local_host=host, local_port=int(port), backlog=BACKLOG)
             tasks.start_soon(_accept, listener, serve, tasks)
             if address == self._settings.client_address:
                 self._client_listener = listener
 
-    async def _await_end(self, scope: anyio.CancelScope) -> None:
+    async def _await_stop(self, scope: anyio.CancelScope) -> None:
         while True:
-            await anyio.sleep(STOP_LOOK)
-            if self._client_listener is not None and self._lifecycle.is_closed():
-                logger.info("no more clients", extra={"in_progress": self._answerer.in_progress})
+            await anyio.sleep(STOP_POLL_INTERVAL_S)
+            if self._client_listener is not None and self._lifecycle.is_closed_to_clients():
+                logger.info("no more clients", extra={"in_progress": self._request_handler.in_progress})
                 await self._client_listener.aclose()
                 self._client_listener = None
-            if self._lifecycle.is_over(self._answerer.in_progress):
+            if self._lifecycle.may_exit(self._request_handler.in_progress):
                 break
         scope.cancel()
 
-    async def _give_up_duties(self) -> None:
-        """Leave the duties to other nodes at once; what is under way here goes on without them."""
-        await self._tenure.give_up()
-        await self._registration.give_up()
+    async def _release_duties(self) -> None:
+        """Hand the duties over to other nodes at once; requests in progress do not need them."""
+        await self._tenure.release()
+        await self._registration.deregister()
 
     def _reload(self) -> None:
-        """Read the settings again; what can change while running is the log level, the rest at the next start."""
-        settings = load_traffic_settings(self._path)
+        """Read the settings again and apply the log level; the other settings take effect at the next start."""
+        settings = load_traffic_settings(self._settings_path)
         if isinstance(settings, Fault):
             logger.error("settings not reloaded", extra={"fault": str(settings)})
             return
@@ -199,17 +201,17 @@
         logger.info("settings reloaded", extra={"changed": changed})
 
     async def _serve_client(self, stream: SocketStream) -> None:
-        await self._serve(stream, self._answerer.answer)
+        await self._serve(stream, self._request_handler.handle)
 
     async def _serve_readiness(self, stream: SocketStream) -> None:
         await self._serve(stream, self._answer_readiness)
 
     async def _serve_metrics(self, stream: SocketStream) -> None:
-        self._inspection.in_progress = self._answerer.in_progress
-        await self._serve(stream, self._inspection.answer)
+        self._operator_handler.in_progress = self._request_handler.in_progress
+        await self._serve(stream, self._operator_handler.answer)
 
     async def _serve_peer(self, stream: SocketStream) -> None:
-        await self._serve(stream, self._changes.answer)
+        await self._serve(stream, self._change_server.answer)
 
     async def _serve(self, stream: SocketStream, handler: Handler) -> None:
         configuration = self._view.configuration
@@ -228,7 +230,7 @@
 async def _accept(
     listener: Listener[SocketStream], serve: Callable[[SocketStream], Awaitable[None]], tasks: anyio.abc.TaskGroup
 ) -> None:
-    """Accept connections until the listener is closed; connections go on after that."""
+    """Accept connections until the listener is closed; open connections are served beyond that."""
     try:
         await listener.serve(serve, tasks)
     except* anyio.ClosedResourceError:
@@ -236,7 +238,7 @@
 
 
 def run_traffic_node(settings: TrafficSettings, path: Path) -> None:
-    """Run a node on the users' platform until SIGTERM or SIGINT."""
+    """Run a node on the users' platform until a planned stop by SIGTERM or SIGINT is complete."""
     node = TrafficNode(settings, path)
     configure_logs(settings.log_level, settings.vm, node.id)
     anyio.run(node.run)
--- a/packages/node/src/vaneturn_node/traffic/serving/metrics.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of the traffic; another module puts them into text form when asked for."""
+"""Counters and latency histograms of the traffic; another module renders them as text on request."""
 
 from __future__ import annotations
 
@@ -7,22 +7,24 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-BUCKETS: Final = (0.025, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0)  # seconds, upper bounds
-MAX_ROUTES: Final = 32  # labels; routes beyond them share one
+LATENCY_BUCKETS_S: Final = (0.025, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0)  # upper bounds
+MAX_ROUTES: Final = 32  # labels; further routes share one
 MAX_CUSTOMERS: Final = 64
-OTHER: Final = "other"
+OTHER_LABEL: Final = "other"
 
 
 @dataclass(slots=True)
 class Latencies:
-    """The times of the requests of a route and a customer."""
+    """The latency histogram of the requests of one route and customer."""
 
-    counts: list[int] = field(default_factory=lambda: [0] * (len(BUCKETS) + 1))  # by bucket, beyond the last among them
-    seconds: float = 0.0  # of all together
+    counts: list[int] = field(
+        default_factory=lambda: [0] * (len(LATENCY_BUCKETS_S) + 1)
+    )  # by bucket, and one beyond them
+    seconds: float = 0.0  # sum over all requests
 
 
 class TrafficMetrics:
-    """What is counted of a node's traffic."""
+    """Counts the requests of a node by ending, and their latencies by route and customer."""
 
     def __init__(self) -> None:
         self.endings: Counter[str] = Counter()
@@ -31,19 +33,19 @@
         self._customers: set[str] = set()
 
     def observe(self, route: str, customer: str, ending: str, seconds: float) -> None:
-        """Take a request that has ended."""
+        """Record a request that has ended."""
         self.endings[ending] += 1
-        labels = _bound(route, self._routes, MAX_ROUTES), _bound(customer, self._customers, MAX_CUSTOMERS)
+        labels = _limit_label(route, self._routes, MAX_ROUTES), _limit_label(customer, self._customers, MAX_CUSTOMERS)
         latencies = self.latencies.setdefault(labels, Latencies())
-        latencies.counts[bisect_left(BUCKETS, seconds)] += 1
+        latencies.counts[bisect_left(LATENCY_BUCKETS_S, seconds)] += 1
         latencies.seconds += seconds
 
 
-def _bound(label: str, known: set[str], most: int) -> str:
-    if label not in known and len(known) >= most:
-        return OTHER
-    known.add(label)
+def _limit_label(label: str, known_labels: set[str], max_labels: int) -> str:
+    if label not in known_labels and len(known_labels) >= max_labels:
+        return OTHER_LABEL
+    known_labels.add(label)
     return label
 
 
-__all__ = ["BUCKETS", "Latencies", "TrafficMetrics"]
+__all__ = ["LATENCY_BUCKETS_S", "Latencies", "TrafficMetrics"]
--- a/packages/node/src/vaneturn_node/traffic/serving/streams.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streams.py
@@ -1,4 +1,4 @@
-"""Requests to models: a chain of servers, a stream of events, and another chain when one fails."""
+"""Forwards requests to models over a chain of servers, and over another chain when one fails."""
 
 from __future__ import annotations
 
@@ -15,106 +15,111 @@
 from vaneturn_node.traffic.servers.exchange import TrafficParts
 from vaneturn_node.traffic.serving.clientstream import ClientStream
 from vaneturn_node.traffic.serving.outcomes import Answered, MayHaveRun, NotRun, OwnAnswer, Reason, TryOutcome, refuse
-from vaneturn_node.traffic.serving.requests import RequestInProgress
-from vaneturn_node.traffic.serving.streamtry import OnTaken, StreamTry
+from vaneturn_node.traffic.serving.requests import RequestContext
+from vaneturn_node.traffic.serving.streamtry import OnAccepted, StreamTry
 
-MAX_SENDS: Final = 5  # of one request, those that servers turned away included
-MAX_REFUSALS: Final = 3  # by servers that have no room, before the request is refused
-RETRY_AFTER: Final = 0.3  # seconds, full jitter on top: some answers end in that time
-# seconds, at random between: a hall has all its layers again after a load or two of 1.6 to 5 s, and those who come back
-# should not do so together
-CROSSINGS_RETRY: Final = (1.0, 4.0)
-RETURN_WAIT: Final = 0.2  # seconds between looks for a chain to go on with a begun answer
+MAX_SENDS: Final = 5  # of one request, including those that servers refused
+MAX_REFUSALS: Final = 3  # by servers without free capacity, before the request is refused
+RETRY_AFTER_S: Final = 0.3  # plus random jitter of up to as much; some answers end in that time
+# lower and upper bound of a random time: a hall has all layers again after one or two loads of layers, each of
+# 1.6 to 5 s, and the refused clients should not all return at once
+CROSSINGS_RETRY_S: Final = (1.0, 4.0)
+CHAIN_SEARCH_INTERVAL_S: Final = 0.2  # between searches for a chain that can resume a begun answer
 
 
-class Lack(Enum):
-    """What a request lacks for another try."""
+class Shortage(Enum):
+    """What is missing for another try of a request."""
 
     CHAIN = "chain"
-    CROSSING = "crossing"  # the only chain crosses from hall to hall, and the pipes carry no more
+    CROSSING = "crossing"  # the only chain crosses between halls, and the inter-hall links have no free capacity
     BUDGET = "budget"
 
 
 class StreamForwarder:
-    """Sends a request over a chain, and goes on over another one when that breaks."""
+    """Sends a request over a chain, and resumes it over another one when that fails."""
 
     def __init__(self, parts: TrafficParts) -> None:
         self._parts = parts
 
     async def forward(
-        self, work: RequestInProgress, engine: EngineProfile, answer: ClientAnswer
+        self, context: RequestContext, engine: EngineProfile, answer: ClientAnswer
     ) -> Answered | OwnAnswer | None:
-        """Relay an answer; none when it was given in full, or broken off after it had begun."""
+        """Relay a streamed answer; return None if it was relayed, either in full or broken off after its start."""
         self._parts.arrivals.record()
-        client = ClientStream(answer, work.facts.last_event, self._parts.patience.record_pause)
+        client = ClientStream(answer, context.facts.last_event_id, self._parts.patience.record_pause)
         try:
-            return await self._forward(work, engine, client)
+            return await self._forward(context, engine, client)
         finally:
-            work.longest_pause = client.pace.longest
-            if client.first_at is not None:
-                work.first_event = client.first_at - work.request.arrived
+            context.longest_pause = client.pace.longest
+            if client.first_event_at is not None:
+                context.first_event = client.first_event_at - context.request.arrived
 
     async def _forward(
-        self, work: RequestInProgress, engine: EngineProfile, client: ClientStream
+        self, context: RequestContext, engine: EngineProfile, client: ClientStream
     ) -> Answered | OwnAnswer | None:
-        end: TryOutcome | None = None
+        outcome: TryOutcome | None = None
         refusals = 0
-        while work.sends < MAX_SENDS and refusals < MAX_REFUSALS and work.left > 0 and work.may_send():
-            prepared = self._prepare(work, engine, client)
-            if prepared in {Lack.CHAIN, Lack.CROSSING} and client.is_begun:
-                work.note_wait("no chain")
-                await anyio.sleep(RETURN_WAIT)
-                work.avoided.clear()  # those that were lost rest; those that are back may serve
+        while context.sends < MAX_SENDS and refusals < MAX_REFUSALS and context.time_left > 0 and context.may_send():
+            prepared = self._prepare_try(context, engine, client)
+            if prepared in {Shortage.CHAIN, Shortage.CROSSING} and client.is_begun:
+                context.add_wait_step("no chain")
+                await anyio.sleep(CHAIN_SEARCH_INTERVAL_S)
+                context.avoided.clear()  # lost servers are in backoff, and those that are back may serve
                 continue
             if not isinstance(prepared, StreamTry):
-                return self._give_up(work, client, end, prepared)
-            end = await prepared.run()
-            if end is None:
+                return self._give_up(context, client, outcome, prepared)
+            outcome = await prepared.run()
+            if outcome is None:
                 return None
-            if isinstance(end, Answered) and not client.is_begun:
-                return end
-            refusals += isinstance(end, NotRun) and not end.is_limited
-            if not isinstance(end, NotRun) and not work.may_run_again:
+            if isinstance(outcome, Answered) and not client.is_begun:
+                return outcome
+            refusals += isinstance(outcome, NotRun) and not outcome.is_rate_limited
+            if not isinstance(outcome, NotRun) and not context.may_run_again:
                 break
-        return self._give_up(work, client, end)
-
-    def _prepare(
-        self, work: RequestInProgress, engine: EngineProfile, client: ClientStream, on_taken: OnTaken | None = None
-    ) -> StreamTry | Lack:
-        """Prepare a try: a chain for it and, if it is not the first, its part of the retry budget."""
-        chooser = self._make_chooser(work, engine, is_begun=client.is_begun)
-        chain = chooser.choose(self._parts.list_choosable(work.service, work.avoided))
+        return self._give_up(context, client, outcome)
+
+    def _prepare_try(
+        self,
+        context: RequestContext,
+        engine: EngineProfile,
+        client: ClientStream,
+        on_accepted: OnAccepted | None = None,
+    ) -> StreamTry | Shortage:
+        """Prepare a try: choose its chain and, unless it is the first, take it from the retry budget."""
+        chooser = self._make_chooser(context, engine, is_begun=client.is_begun)
+        chain = chooser.choose(self._parts.list_choosable(context.service, context.avoided))
         if chain is None:
-            return Lack.CROSSING if chooser.is_crossing_refused else Lack.CHAIN
-        budget = self._parts.find_budget(work.service)
-        if not work.sends:
+            return Shortage.CROSSING if chooser.is_crossing_refused else Shortage.CHAIN
+        budget = self._parts.find_budget(context.service)
+        if not context.sends:
             budget.record_first()
         elif not budget.spend():
-            work.note_wait("retry budget used up")
-            return Lack.BUDGET
+            context.add_wait_step("retry budget used up")
+            return Shortage.BUDGET
 
-        def find_next(on_next_taken: OnTaken) -> StreamTry | None:
-            if work.sends >= MAX_SENDS - 1 or not work.may_send():  # the last one is for when no try is left
+        def prepare_next(on_next_accepted: OnAccepted) -> StreamTry | None:
+            # the last send is kept for when no try is left
+            if context.sends >= MAX_SENDS - 1 or not context.may_send():
                 return None
-            prepared = self._prepare(work, engine, client, on_next_taken)
+            prepared = self._prepare_try(context, engine, client, on_next_accepted)
             return prepared if isinstance(prepared, StreamTry) else None
 
         return StreamTry(
             parts=self._parts,
-            work=work,
+            context=context,
             chooser=chooser,
             chain=chain,
             client=client,
-            find_next=find_next,
-            on_taken=on_taken,
+            prepare_next=prepare_next,
+            on_accepted=on_accepted,
         )
 
-    def _make_chooser(self, work: RequestInProgress, engine: EngineProfile, *, is_begun: bool) -> ChainChooser:
-        answer = min(work.facts.most_answer_tokens or engine.usual_answer, engine.usual_answer)
-        prompt = work.facts.prompt_tokens or engine.usual_prompt
+    def _make_chooser(self, context: RequestContext, engine: EngineProfile, *, is_begun: bool) -> ChainChooser:
+        answer = min(context.facts.max_answer_tokens or engine.usual_answer, engine.usual_answer)
+        prompt = context.facts.prompt_tokens or engine.usual_prompt
         nodes = self._parts.view.count_nodes()
         return ChainChooser(
-            layer_map=self._parts.find_layer_map(work.service, engine),
+            layer_map=self._parts.find_layer_map(context.service, engine),
             statuses=self._parts.beliefs,
             node=self._parts.vm,
             hall=self._parts.hall,
@@ -125,27 +130,31 @@
             board=self._parts.board,
             rate=self._parts.arrivals.compute(),
             nodes=nodes,
-            draw=0.0 if is_begun else work.draw,
+            draw=0.0 if is_begun else context.draw,
         )
 
     def _give_up(
-        self, work: RequestInProgress, client: ClientStream, end: TryOutcome | None, lack: Lack | None = None
+        self,
+        context: RequestContext,
+        client: ClientStream,
+        outcome: TryOutcome | None,
+        shortage: Shortage | None = None,
     ) -> OwnAnswer | None:
-        if end is None and lack is Lack.CROSSING and work.may_send():
-            return refuse(Reason.CROSSINGS_FULL, random.uniform(*CROSSINGS_RETRY))
+        if outcome is None and shortage is Shortage.CROSSING and context.may_send():
+            return refuse(Reason.CROSSINGS_FULL, random.uniform(*CROSSINGS_RETRY_S))
         if client.is_begun:
-            work.note("answer broken off")
+            context.add_step("answer broken off")
             return None
-        cause = end.cause if isinstance(end, NotRun | MayHaveRun) else ""
-        if work.may_have_run:
-            return work.give_up_run(cause)
-        wait = self._parts.compute_wait(work.service)
-        retry_after = wait + RETRY_AFTER * (1 + random.random())
-        if not work.may_send():
+        cause = outcome.cause if isinstance(outcome, NotRun | MayHaveRun) else ""
+        if context.may_have_run:
+            return context.make_may_have_run_answer(cause)
+        wait = self._parts.compute_wait(context.service)
+        retry_after = wait + RETRY_AFTER_S * (1 + random.random())
+        if not context.may_send():
             return refuse(Reason.KEYS_TOO_OLD, retry_after, cause)
         if wait:
             return refuse(Reason.SERVERS_LIMITED, retry_after, cause)
-        return refuse(Reason.NO_CHAIN if end is None else Reason.NOT_RUN, retry_after, cause)
+        return refuse(Reason.NO_CHAIN if outcome is None else Reason.NOT_RUN, retry_after, cause)
 
 
 __all__ = ["StreamForwarder"]
--- a/tests/rig/ablation.py
+++ b/tests/rig/ablation.py
@@ -96,7 +96,11 @@
     Mechanism(
         "idle-bound",
         "a request that may not run twice lost on a connection that the server forgot",
-        (Edit(f"{TRAFFIC}/serving/plain.py", "longest = ANY_IDLE_TIME if work.route.may_repeat else", "longest ="),),
+        (
+            Edit(
+                f"{TRAFFIC}/serving/plain.py", "max_idle = ANY_IDLE_TIME if context.route.may_repeat else", "max_idle ="
+            ),
+        ),
     ),
     Mechanism(
         "retry-shares",
@@ -109,20 +113,20 @@
         (
             Edit(
                 f"{TRAFFIC}/serving/plain.py",
-                "if last.status < SERVER_FAULT or not work.may_run_again:",
-                "if last.status < SERVER_FAULT or work.runs:",
+                "if last_outcome.status < MIN_SERVER_ERROR_STATUS or not context.may_run_again:",
+                "if last_outcome.status < MIN_SERVER_ERROR_STATUS or context.runs:",
             ),
             Edit(
                 f"{TRAFFIC}/serving/plain.py",
-                "elif isinstance(last, MayHaveRun) and not work.may_run_again:",
-                "elif isinstance(last, MayHaveRun):",
+                "elif isinstance(last_outcome, MayHaveRun) and not context.may_run_again:",
+                "elif isinstance(last_outcome, MayHaveRun):",
             ),
         ),
     ),
     Mechanism(
         "asking-servers",
         "a loss that no connection shows",
-        (Edit(f"{TRAFFIC}/serving/streamtry.py", "            await self._repair.look_for_loss()\n", ""),),
+        (Edit(f"{TRAFFIC}/serving/streamtry.py", "            await self._repair.repair_losses()\n", ""),),
     ),
     Mechanism(
         "plan-move",
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -21,8 +21,8 @@
         (
             Edit(
                 f"{TRAFFIC}/serving/streamtry.py",
-                "if not await self._parts.permits.obtain(self._first.id):",
-                "if self._first.id is None:",
+                "if not await self._parts.permits.obtain(self._first_server.id):",
+                "if self._first_server.id is None:",
             ),
         ),
     ),
@@ -108,7 +108,9 @@
                 "        return not readable.poll(0)\n",
                 "        return True\n",
             ),
-            Edit(f"{TRAFFIC}/serving/plain.py", "if facts.id is not None and facts.id != work.facts.id:", "if False:"),
+            Edit(
+                f"{TRAFFIC}/serving/plain.py", "if facts.id is not None and facts.id != context.facts.id:", "if False:"
+            ),
         ),
     ),
     Proof(
@@ -123,7 +125,7 @@
             Edit(
                 f"{TRAFFIC}/serving/clientstream.py",
                 "        events = splitter.split(data)\n",
-                "        events = splitter.split(data)\n        await self._answer.send_part(splitter.rest)\n",
+                "        events = splitter.split(data)\n        await self._answer.send_part(splitter.remainder)\n",
             ),
         ),
     ),
@@ -144,7 +146,7 @@
         (
             Edit(
                 f"{TRAFFIC}/serving/repair.py",
-                "            await self._replace(losses.parts)\n",
+                "            await self._replace_parts(losses.parts)\n",
                 "            return\n",
             ),
         ),
@@ -154,7 +156,7 @@
         f"{SYSTEM}/test_streams.py::test_part_that_was_refused_is_left_alone_by_the_next_requests",
         (
             Edit(
-                f"{TRAFFIC}/serving/chainhold.py",
+                f"{TRAFFIC}/serving/chainreservation.py",
                 "        elif facts.faulty is not None:",
                 "        elif facts is None:",
             ),
@@ -166,8 +168,8 @@
         (
             Edit(
                 f"{TRAFFIC}/serving/streamtry.py",
-                '            work.note_wait(f"{cause}; waits")\n            return\n',
-                "            raise TryOverError(MayHaveRun(cause))\n",
+                '            context.add_wait_step(f"{cause}; waits")\n            return\n',
+                "            raise TryEndedError(MayHaveRun(cause))\n",
             ),
         ),
     ),
@@ -196,7 +198,7 @@
     Proof(
         "an order is void after another one",
         f"{SYSTEM}/test_placing.py::test_late_order_changes_nothing_after_a_newer_one",
-        (Edit(f"{PLATFORM}/servers.py", '            "expected_rev": orders,\n', ""),),
+        (Edit(f"{PLATFORM}/servers.py", '            "expected_rev": orders_begun,\n', ""),),
     ),
     Proof(
         "a holder whose lease may be over orders nothing",
@@ -204,7 +206,7 @@
         (
             Edit(
                 f"{TRAFFIC}/duties/tenure.py",
-                "return self._is_holder() and read_clock() < self._sure_until - MARGIN",
+                "return self._is_holder() and read_clock() < self._valid_until - ORDER_MARGIN_S",
                 "return self._is_holder()",
             ),
         ),
@@ -212,7 +214,11 @@
     Proof(
         "a planned stop cuts no stream",
         f"{SYSTEM}/test_stopping.py::test_stream_under_way_is_answered_in_full",
-        (Edit(f"{TRAFFIC}/process/stopping.py", "return passed >= UNREADY_TIME and not in_progress", "return True"),),
+        (
+            Edit(
+                f"{TRAFFIC}/process/stopping.py", "return elapsed >= UNREADY_TIME_S and not in_progress", "return True"
+            ),
+        ),
     ),
     Proof(
         "a silent relay is left in time",
@@ -296,7 +302,7 @@
     Proof(
         "candidates for the tenure come in turn",
         "tests/node/traffic/duties/test_candidacy.py::test_few_nodes_ask_the_store_when_the_tenure_is_free",
-        (Edit(f"{TRAFFIC}/duties/tenure.py", "await anyio.sleep(rank * TURN)", "await anyio.sleep(0)"),),
+        (Edit(f"{TRAFFIC}/duties/tenure.py", "await anyio.sleep(rank * RANK_DELAY_S)", "await anyio.sleep(0)"),),
     ),
     Proof(
         "a forgotten history is told as differences",
@@ -309,8 +315,8 @@
         (
             Edit(
                 f"{TRAFFIC}/serving/requests.py",
-                "return self.has_key() and not self.is_barred",
-                "return self.has_key()",
+                "return self.is_key_valid() and not self.is_barred",
+                "return self.is_key_valid()",
             ),
         ),
     ),
@@ -335,7 +341,11 @@
     Proof(
         "a copy that has had events goes on when its content is barred",
         f"{SYSTEM}/test_deadly.py::test_copy_that_has_had_events_goes_on",
-        (Edit(f"{TRAFFIC}/serving/answering.py", "if work.sends and not work.events and", "if work.sends and"),),
+        (
+            Edit(
+                f"{TRAFFIC}/serving/answering.py", "if context.sends and not context.events and", "if context.sends and"
+            ),
+        ),
     ),
     Proof(
         "an answer begins with its first event",
@@ -412,7 +422,7 @@
     Proof(
         "values are read for as long as they arrive",
         f"{SYSTEM}/test_catchup.py::test_node_reads_the_longest_value_over_the_slowest_link",
-        (Edit(f"{PLATFORM}/store.py", "Arrival(math.inf, SILENCE)", "Arrival(0.0, SILENCE)"),),
+        (Edit(f"{PLATFORM}/store.py", "Arrival(math.inf, MAX_SILENCE_S)", "Arrival(0.0, MAX_SILENCE_S)"),),
     ),
     Proof(
         "the next nodes stand in for relays that were left",
--- a/tests/system/platform/test_streams.py
+++ b/tests/system/platform/test_streams.py
@@ -1,4 +1,4 @@
-"""A streamed answer over a chain: whole, each layer once, and going on when servers are lost."""
+"""A streamed answer over a chain is complete, runs each layer once, and resumes when servers are lost."""
 
 from __future__ import annotations
 
@@ -36,16 +36,16 @@
     traffic.fleet.answer_tokens = 60
     async with anyio.create_task_group() as tasks:
 
-        async def lose() -> None:
+        async def lose_server() -> None:
             await wait_for(lambda: any(run.tokens for run in traffic.fleet.runs))
             address = traffic.fleet.runs[0].tokens[0][index].address
-            server = next(one for one in servers if one.address == address)
+            server = next(candidate for candidate in servers if candidate.address == address)
             if is_dark:
                 server.is_dark = True
             else:
                 await server.crash()
 
-        tasks.start_soon(lose)
+        tasks.start_soon(lose_server)
         answer = await traffic.ask("/letter/1", X_Deadline_Ms="15000")
     assert answer.status_code == 200
     assert list_ids(answer.text) == list(range(1, 61))
@@ -94,7 +94,7 @@
 
 
 async def test_part_that_was_refused_is_left_alone_by_the_next_requests(traffic: Traffic) -> None:
-    """Each request found out for itself, and each refusal spent the retry budget."""
+    """Without shared knowledge of the refusal, each request was refused as well and spent retry budget."""
     servers = await traffic.add_chains()
     gone = next(server for server in servers if server.hall == "east" and server.held and server.held[0] > 0)
     gone.held = (0, 1)  # the list still says what it held before
@@ -105,19 +105,19 @@
 
 
 async def test_stream_that_must_not_run_twice_waits_for_a_server_in_place_of_a_lost_one(traffic: Traffic) -> None:
-    """It was broken off at once, though its first server still waited and another took the layers soon after."""
+    """Breaking it off at once is wrong: its first server still waits, and another one takes the layers soon."""
     servers = await traffic.add_chains(halls=("east",))
     traffic.fleet.answer_tokens = 40
     traffic.fleet.token_time = 0.03
     async with anyio.create_task_group() as tasks:
 
-        async def lose() -> None:
+        async def lose_server() -> None:
             await wait_for(lambda: any(len(run.tokens) > 3 for run in traffic.fleet.runs))
             lost = next(server for server in servers if server.held and server.held[0] > 0)
             await lost.crash(is_listed=False)
             await traffic.fleet.add(f"127.0.0.1:{find_port()}", "llm", "east", "big")
 
-        tasks.start_soon(lose)
+        tasks.start_soon(lose_server)
         answer = await traffic.ask("/notice/1")
     assert list_ids(answer.text) == list(range(1, 41))
     assert len(traffic.fleet.runs) == 1
@@ -134,16 +134,16 @@
 async def test_stream_that_must_not_run_twice_is_not_called_not_run_when_its_server_falls_silent(
     traffic: Traffic,
 ) -> None:
-    """A run on a lost server does not count as an attempt; it was taken for one that never was."""
+    """A run on a lost server does not count as an attempt, but the answer must not say that it never happened."""
     servers = await traffic.add_chains()
     traffic.fleet.token_time = 1.0  # the first event is not there yet
     async with anyio.create_task_group() as tasks:
 
-        async def lose() -> None:
+        async def lose_server() -> None:
             await wait_for(lambda: bool(traffic.fleet.runs))
             next(server for server in servers if server.id == traffic.fleet.runs[0].server).is_dark = True
 
-        tasks.start_soon(lose)
+        tasks.start_soon(lose_server)
         answer = await traffic.ask("/notice/1")
     assert answer.status_code in {502, 504}
     assert len(traffic.fleet.runs) == 1
