--- a/packages/core/src/vaneturn_core/faults.py
+++ b/packages/core/src/vaneturn_core/faults.py
@@ -1,4 +1,4 @@
-"""The one shape in which a rejected document is reported."""
+"""Errors in rejected documents, all reported in the same format."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 import msgspec
 
-_AT: Final = re.compile(r" - at `(?P<path>[^`]*)`$")
+_PATH_SUFFIX: Final = re.compile(r" - at `(?P<path>[^`]*)`$")
 
 
 @dataclass(frozen=True)
 class Fault:
     """A place in a document and what was expected there."""
 
-    path: str  # as in $.customers[2].name
+    path: str  # for example $.customers[2].name
     expected: str
 
     def __str__(self) -> str:
@@ -23,9 +23,9 @@
 
 
 def describe_decode_error(error: msgspec.DecodeError) -> Fault:
-    """Split the decoder's message into the place and the expectation."""
+    """Split the decoder's message into the path and the expectation."""
     text = str(error)
-    match = _AT.search(text)
+    match = _PATH_SUFFIX.search(text)
     if match is None:
         return Fault("$", text)
     return Fault(match["path"], text[: match.start()])
--- a/packages/core/src/vaneturn_core/traffic/arrivals.py
+++ b/packages/core/src/vaneturn_core/traffic/arrivals.py
@@ -1,4 +1,4 @@
-"""How many requests a second come to a node, those that it turns away included."""
+"""The rate of requests that arrive at a node, refused ones included."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Final
 
-WINDOW: Final = 10.0  # seconds; a node of a large fleet gets about one request in each
+WINDOW_S: Final = 10.0  # long, since a node of a large fleet gets only about one request in that time
 
 
 class ArrivalRate:
@@ -17,15 +17,15 @@
         self._times: deque[float] = deque()
 
     def record(self) -> None:
-        """Count a request."""
+        """Record a request."""
         self._times.append(self._clock())
 
     def compute(self) -> float:
-        """Compute the requests a second."""
-        oldest = self._clock() - WINDOW
+        """Compute the requests per second."""
+        oldest = self._clock() - WINDOW_S
         while self._times and self._times[0] < oldest:
             self._times.popleft()
-        return len(self._times) / WINDOW
+        return len(self._times) / WINDOW_S
 
 
-__all__ = ["WINDOW", "ArrivalRate"]
+__all__ = ["WINDOW_S", "ArrivalRate"]
--- a/packages/node/src/vaneturn_node/traffic/following/follower.py
+++ b/packages/node/src/vaneturn_node/traffic/following/follower.py
@@ -9,7 +9,7 @@
 import anyio
 
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.outage import RELAY_RETRY, draw_direct_retry, draw_retry
+from vaneturn_core.traffic.outage import RELAY_RETRY_DELAY_S, draw_retry, draw_store_retry
 from vaneturn_core.traffic.relays import RelayTimes, rank_relays
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.clock import read_clock
@@ -116,8 +116,8 @@
     def _defer_to_relays(self) -> None:
         """Ask only the relays for a while, and soon again, because they cannot reach the store either."""
         now = read_clock()
-        self._direct_calls_from = now + draw_direct_retry(self._view.count_nodes(), self._times.bound)
-        self._backoffs.update(dict.fromkeys(self._out_of_touch, now + RELAY_RETRY))
+        self._direct_calls_from = now + draw_store_retry(self._view.count_nodes(), self._times.bound)
+        self._backoffs.update(dict.fromkeys(self._out_of_touch, now + RELAY_RETRY_DELAY_S))
 
     def _choose_relay(self) -> VmId | None:
         now = read_clock()
@@ -137,7 +137,7 @@
         self._out_of_touch.clear()
         self._direct_calls_from = float("-inf")
         self._log_followed(relay)
-        self._view.adopt_contact(answer.contact)
+        self._view.merge_contact(answer.contact)
         self._apply(items, answer.revision)
         if items:
             await anyio.sleep(self._times.gather)
@@ -148,7 +148,7 @@
         now = read_clock()
         is_outage = is_out_of_touch and now < self._direct_calls_from
         self._backoffs = {known: until for known, until in self._backoffs.items() if known in self._view.nodes}
-        self._backoffs[relay] = now + (RELAY_RETRY if is_outage else RELAY_BACKOFF_S)
+        self._backoffs[relay] = now + (RELAY_RETRY_DELAY_S if is_outage else RELAY_BACKOFF_S)
         if is_out_of_touch:
             self._out_of_touch.add(relay)
         else:
--- a/packages/node/src/vaneturn_node/traffic/process/metricstext.py
+++ b/packages/node/src/vaneturn_node/traffic/process/metricstext.py
@@ -1,7 +1,7 @@
-"""The metrics of a node's traffic in text form.
+"""The metrics of a node's traffic in the text format of Prometheus.
 
-Imported when an operator first asks for them: the library takes 58 modules along, and 3.7 of the 17.6 MB of a node that
-has just started; after a loss of power of all nodes clients wait for its import.
+Import this module only when metrics are first requested. The metrics library imports 58 modules and takes 3.7 MB of the
+17.6 MB of a freshly started node, and when all nodes start after a power loss, clients would wait for its import.
 """
 
 from __future__ import annotations
@@ -14,45 +14,45 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, HistogramMetricFamily, Metric
 from prometheus_client.registry import Collector
 
-from vaneturn_node.traffic.serving.metrics import BUCKETS, TrafficMetrics
+from vaneturn_node.traffic.serving.metrics import LATENCY_BUCKETS_S, TrafficMetrics
 
 
 @dataclass(frozen=True, slots=True)
 class Gauges:
-    """What is read when the metrics are asked for."""
+    """Values that are read at the time of the request."""
 
-    age: float  # seconds since the store confirmed what is believed
-    ends: int  # of servers, that count against requests
-    servers: int  # in the list
-    limited: int  # servers that limit the rate of requests
-    closed: int  # servers that asked this node for rest, or said that they leave
+    view_age: float  # seconds since the store last confirmed the view
+    crashes: int  # crashes of servers that count against requests
+    servers: int  # listed backend servers
+    limited: int  # servers with a rate limit
+    closed: int  # servers that asked this node for a rest or announced that they leave
 
 
 class TrafficCollector(Collector):
-    """Gives what was counted as metrics of the library."""
+    """Converts the counters and gauges to metrics of the library."""
 
     def __init__(self, metrics: TrafficMetrics, gauges: Gauges) -> None:
         self._metrics = metrics
         self._gauges = gauges
 
     def collect(self) -> Iterator[Metric]:
-        """Give each metric."""
+        """Yield each metric."""
         endings = CounterMetricFamily("vaneturn_requests", "Requests by how they ended", labels=["ending"])
         for ending, count in self._metrics.endings.items():
             endings.add_metric([ending], count)
         yield endings
-        yield self._collect_seconds()
+        yield self._collect_latencies()
         gauges = self._gauges
-        yield GaugeMetricFamily("vaneturn_view_age_seconds", "Age of what is believed of the platform", gauges.age)
-        yield GaugeMetricFamily("vaneturn_server_ends", "Ends of servers that count against requests", gauges.ends)
+        yield GaugeMetricFamily("vaneturn_view_age_seconds", "Age of what is believed of the platform", gauges.view_age)
+        yield GaugeMetricFamily("vaneturn_server_ends", "Ends of servers that count against requests", gauges.crashes)
         yield GaugeMetricFamily("vaneturn_backend_servers", "Backend servers in the list", gauges.servers)
         yield GaugeMetricFamily("vaneturn_rate_limited_servers", "Backend servers with a rate limit", gauges.limited)
         yield GaugeMetricFamily("vaneturn_closed_servers", "Backend servers that want no requests", gauges.closed)
 
-    def _collect_seconds(self) -> HistogramMetricFamily:
+    def _collect_latencies(self) -> HistogramMetricFamily:
         labels = ["route", "customer"]
         seconds = HistogramMetricFamily("vaneturn_request_seconds", "Time of a whole request", labels=labels)
-        bounds = [str(bound) for bound in (*BUCKETS, "+Inf")]
+        bounds = [str(bound) for bound in (*LATENCY_BUCKETS_S, "+Inf")]
         for (route, customer), latencies in self._metrics.latencies.items():
             totals = itertools.accumulate(latencies.counts)
             seconds.add_metric([route, customer], list(zip(bounds, totals, strict=True)), latencies.seconds)
@@ -60,7 +60,7 @@
 
 
 def render_metrics(metrics: TrafficMetrics, gauges: Gauges) -> bytes:
-    """Give all metrics in text form."""
+    """Render all metrics as text."""
     registry = CollectorRegistry()
     registry.register(TrafficCollector(metrics, gauges))
     return generate_latest(registry)
--- a/packages/node/src/vaneturn_node/traffic/servers/crashwatch.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/crashwatch.py
@@ -51,7 +51,7 @@
 
     def record_success(self, server: BackendServer, content: Content) -> None:
         """Record that a server has run a request without a crash."""
-        if self._board.note_sound(content, server.software):
+        if self._board.record_completion(content, server.software):
             logger.info("request cleared", extra={"content": format_content(content)})
 
     def confirm_unlisted(self) -> None:
@@ -63,13 +63,13 @@
         """Record a lost request, unless the server is draining."""
         listed = self._view.servers.get(server.id)
         if listed is not None and listed.state is not ServerState.DRAINING:
-            self._board.note_lost(server.id, server.software, content, suspicion)
+            self._board.record_lost_connection(server.id, server.software, content, suspicion)
 
     def _confirm_crash(self, server: BackendServer, content: Content) -> None:
         if self._board.confirm(server.id):
             self._log_crash(server.id, "nobody listens")
         if self._board.is_barred(content):
-            crashed = self._board.list_ends_under(content)
+            crashed = self._board.list_crashed_servers(content)
             logger.info("request barred", extra={"content": format_content(content), "servers": crashed})
 
     def _log_crash(self, server: ServerId, cause: str) -> None:
--- a/packages/node/src/vaneturn_node/traffic/servers/exchange.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/exchange.py
@@ -11,14 +11,14 @@
 
 from vaneturn_core.identifiers import DataHall, ServiceName, VmId
 from vaneturn_core.traffic.arrivals import ArrivalRate
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.configuration import EngineProfile
 from vaneturn_core.traffic.crashes import CrashBoard
-from vaneturn_core.traffic.hearing import Hearing
+from vaneturn_core.traffic.hearing import Reachability
 from vaneturn_core.traffic.layermap import LayerMap
 from vaneturn_core.traffic.loads import LoadBoard
 from vaneturn_core.traffic.losses import LossBoard
-from vaneturn_core.traffic.patience import Patience
+from vaneturn_core.traffic.patience import ProbeDelay
 from vaneturn_core.traffic.ratelimits import NodeHistory, PermitIssuer, RateLimits
 from vaneturn_core.traffic.retries import WindowedRetryBudget
 from vaneturn_core.traffic.servers import BackendServer, ServerId
@@ -47,11 +47,11 @@
     hall: DataHall
     bounds: Bounds
     view: PlatformView
-    beliefs: ServerBeliefs
+    beliefs: ServerStatuses
     pool: LinkPool
     calls: ServerCalls
     reports: ReportBoard
-    hearing: Hearing
+    hearing: Reachability
     caller: Caller
     node_history: NodeHistory = field(default_factory=lambda: NodeHistory(read_clock))
     losses: LossBoard = field(default_factory=lambda: LossBoard(read_clock))
@@ -59,7 +59,7 @@
     board: LoadBoard = field(default_factory=lambda: LoadBoard(read_clock))
     arrivals: ArrivalRate = field(default_factory=lambda: ArrivalRate(read_clock))  # of streams
     first_reading: FirstReading = field(default_factory=FirstReading)
-    patience: Patience = field(default_factory=Patience)
+    patience: ProbeDelay = field(default_factory=ProbeDelay)
     limits: RateLimits = field(default_factory=RateLimits)
     permits: Permits = field(init=False)
     directives: DirectiveKeeper = field(init=False)
@@ -99,13 +99,13 @@
         """Return the map of servers by layer; rebuilt only when the list of servers has changed."""
         servers = self.view.list_servers(service)
         layer_map = self.layer_maps.get(service)
-        if layer_map is None or not layer_map.is_of(engine, servers):
+        if layer_map is None or not layer_map.is_built_for(engine, servers):
             layer_map = self.layer_maps[service] = LayerMap(engine, servers)
         return layer_map
 
     def list_eligible(self, service: ServiceName, avoided: Iterable[ServerId]) -> list[BackendServer]:
         """List the servers of a service that are eligible for new work."""
-        return self.beliefs.list_choosable(self.view.list_servers(service), avoided, read_clock())
+        return self.beliefs.list_eligible(self.view.list_servers(service), avoided, read_clock())
 
     def list_accepting(self, service: ServiceName, avoided: Iterable[ServerId]) -> list[BackendServer]:
         """List the eligible servers of a service that accept requests from this node."""
@@ -128,14 +128,14 @@
         :param since: monotonic time; responses to probes sent earlier do not count.
         """
         engines = [server for server in self.view.servers.values() if server.kind is not None]
-        if len(engines) <= 1 or self.hearing.has_heard_since(since):
+        if len(engines) <= 1 or self.hearing.has_reached_others_since(since):
             return True
         probed_at = read_clock()
         others = [server for server in engines if server.id not in excluded]
         async with anyio.create_task_group() as tasks:
             for control in random.sample(others, min(CONTROL_PROBES, len(others))):
                 tasks.start_soon(self.reports.read, control, 0.0)
-        return self.hearing.has_heard_since(probed_at - PROBE_JOIN_AGE_S)
+        return self.hearing.has_reached_others_since(probed_at - PROBE_JOIN_AGE_S)
 
     def record_loss(self, server: ServerId) -> None:
         """Record a failure of a server, unless its backoff is still running, and report it to other nodes.
@@ -143,7 +143,7 @@
         Without this check, five streams that saw the same 0.1 s silence would extend the backoff from 0.7 s to 8 s.
         """
         now = read_clock()
-        if self.beliefs[server].found_until <= now:
+        if self.beliefs[server].failed_until <= now:
             self.beliefs[server].record_failure(now)
         self.loss_found.notify()
 
@@ -152,7 +152,7 @@
         now = read_clock()
         belief = self.beliefs[server]
         belief.record_refusal(now, fullness)
-        if belief.found_until > now:
+        if belief.failed_until > now:
             self.loss_found.notify()
 
     async def release(self, link: HttpLink, address: str, *, is_whole: bool) -> None:
--- a/packages/node/src/vaneturn_node/traffic/servers/lossfinding.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/lossfinding.py
@@ -11,10 +11,10 @@
 
 from vaneturn_core.identifiers import RequestId
 from vaneturn_core.traffic.chain import Chain, Part
-from vaneturn_core.traffic.chains import VERY_SLOW
-from vaneturn_core.traffic.hearing import compute_answer_limit, compute_sign_time
+from vaneturn_core.traffic.chains import VERY_SLOW_FACTOR
+from vaneturn_core.traffic.hearing import compute_answer_limit, compute_probe_timeout
 from vaneturn_core.traffic.servers import ServerId
-from vaneturn_core.traffic.view import MAX_TOLD_AGE
+from vaneturn_core.traffic.view import MAX_SHOWN_AGE_S
 from vaneturn_node.clock import read_clock
 from vaneturn_node.http1.caller import Failed
 from vaneturn_node.traffic.servers.exchange import TrafficParts
@@ -78,7 +78,7 @@
     async def _find_silent(self, chain: Chain, heard_age: float) -> list[Part]:
         """Find the parts that do not respond while others do; none while this VM cannot reach any server."""
         started = read_clock()
-        unheard = [part for part in chain.parts if self._parts.beliefs[part.server.id].heard_at < started - heard_age]
+        unheard = [part for part in chain.parts if self._parts.beliefs[part.server.id].token_at < started - heard_age]
         self._has_skipped = len(unheard) < len(chain.parts)
         failed = await self._probe(unheard)
         refused = [part for part in failed if self._parts.reports.is_gone(part.server.id)]
@@ -86,7 +86,7 @@
         if not silent:
             return refused
         self._unanswered += chain.parts[0] in silent
-        is_connected = 2 * len(silent) < len(unheard) and self._parts.hearing.has_heard_since(started)
+        is_connected = 2 * len(silent) < len(unheard) and self._parts.hearing.has_reached_others_since(started)
         if not is_connected:
             silent, is_connected = await self._probe_again(chain, silent)
         self._log_silent(silent, len(unheard), started, is_connected=is_connected)
@@ -106,7 +106,7 @@
                 return
             silent.remove(part)
             delays.append(anyio.current_time() - began)
-            limit = compute_sign_time(len(parts), delays)
+            limit = compute_probe_timeout(len(parts), delays)
             if limit is not None:
                 tasks.cancel_scope.deadline = began + limit
 
@@ -145,7 +145,9 @@
             "asked": probed_count,
             "hears_others": is_connected,
             "took": round(now - started, 3),  # if far longer than two probes take, this process was delayed
-            "heard_age": round(min(now - self._parts.beliefs.heard_at, MAX_TOLD_AGE), 3),  # since any server responded
+            "heard_age": round(
+                min(now - self._parts.beliefs.newest_token_at, MAX_SHOWN_AGE_S), 3
+            ),  # since any server responded
         }
         logger.info("servers silent", extra=extra)
 
@@ -158,7 +160,7 @@
             if isinstance(report, Failed):
                 return
             self._parts.beliefs[part.server.id].take_slowness(report.slowness, read_clock())
-            if report.slowness >= VERY_SLOW:
+            if report.slowness >= VERY_SLOW_FACTOR:
                 slow.append(part)
 
         async with anyio.create_task_group() as tasks:
--- a/packages/node/src/vaneturn_node/traffic/servers/permits.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/permits.py
@@ -11,7 +11,7 @@
 from msgspec import Struct
 
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.ratelimits import PermitIssuer, RateLimit, RateLimits, rank_issuers
 from vaneturn_core.traffic.servers import ServerId
 from vaneturn_core.traffic.view import PlatformView
@@ -60,7 +60,7 @@
         *,
         vm: VmId,
         view: PlatformView,
-        beliefs: ServerBeliefs,
+        beliefs: ServerStatuses,
         limits: RateLimits,
         issuer: PermitIssuer,
         caller: Caller,
@@ -84,7 +84,7 @@
             self._beliefs[server].permit_at = read_clock() + NO_ISSUER_WAIT_S
             return False
         now = read_clock()
-        if self._limits.take_told(server, reply.rate, now - reply.age, now).rate is None:
+        if self._limits.record_report(server, reply.rate, now - reply.age, now).rate is None:
             return True
         self._beliefs[server].permit_at = read_clock() + min(reply.wait, MAX_PERMIT_WAIT_S)
         return reply.wait <= 0
@@ -98,7 +98,7 @@
     def list_changed_limits(self) -> list[LimitRow]:
         """List the recently changed limits."""
         now = read_clock()
-        news = self._limits.list_news(now)
+        news = self._limits.list_changes(now)
         return [LimitRow(server, limit.rate, max(0.0, now - limit.at)) for server, limit in news.items()]
 
     def apply_limits(self, reported: Iterable[LimitRow]) -> None:
@@ -107,7 +107,7 @@
         for limit in reported:
             server = ServerId(limit.server)
             if self._is_valid(server, limit.rate, limit.age):
-                self._limits.take_told(server, limit.rate, now - limit.age, now)
+                self._limits.record_report(server, limit.rate, now - limit.age, now)
 
     def _is_valid(self, server: ServerId, rate: float | None, age: float) -> bool:
         if server in self._view.servers and age >= 0 and (rate is None or 0 < rate < math.inf):
@@ -129,7 +129,7 @@
 
     def _issue(self, server: ServerId, rate: float | None, age: float) -> PermitReply:
         now = read_clock()
-        latest = self._limits.take_told(server, rate, now - age, now)
+        latest = self._limits.record_report(server, rate, now - age, now)
         wait = self._issuer.issue(server, latest.rate) if latest.rate is not None else 0.0
         return PermitReply(wait, latest.rate, max(0.0, read_clock() - latest.at))
 
--- a/packages/node/src/vaneturn_node/traffic/servers/reports.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/reports.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from vaneturn_core.traffic.hearing import Hearing
+from vaneturn_core.traffic.hearing import Reachability
 from vaneturn_core.traffic.servers import BackendServer, ServerId
 from vaneturn_node.clock import read_clock
 from vaneturn_node.http1.caller import Failed
@@ -32,7 +32,7 @@
 class ReportBoard:
     """Probes servers for their reports and keeps the latest report of each server."""
 
-    def __init__(self, calls: ServerCalls, hearing: Hearing) -> None:
+    def __init__(self, calls: ServerCalls, hearing: Reachability) -> None:
         self._calls = calls
         self._hearing = hearing
         self._latest: dict[ServerId, _Probe] = {}  # answered or not
--- a/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
@@ -12,14 +12,14 @@
 import anyio
 import msgspec
 
-from vaneturn_core.traffic.beliefs import ServerBeliefs
-from vaneturn_core.traffic.loads import SUM_AGE, LoadBoard
+from vaneturn_core.traffic.beliefs import ServerStatuses
+from vaneturn_core.traffic.loads import MAX_SUM_AGE_S, LoadBoard
 from vaneturn_core.traffic.relays import RelayTimes
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.clock import read_clock
 from vaneturn_node.http1.caller import Arrival
 from vaneturn_node.http1.server import ClientAnswer, ClientRequest
-from vaneturn_node.platform.store import BODY_TIME, SILENCE
+from vaneturn_node.platform.store import BODY_EXTRA_TIME_S, MAX_SILENCE_S
 from vaneturn_node.traffic.servers.permits import PERMITS_PATH, Permits
 from vaneturn_node.traffic.sharing.changelog import ChangeLog
 from vaneturn_node.traffic.sharing.crashsharing import CRASHES_PATH, CrashSharing
@@ -51,7 +51,7 @@
         log: ChangeLog,
         view: PlatformView,
         times: RelayTimes,
-        beliefs: ServerBeliefs,
+        beliefs: ServerStatuses,
         board: LoadBoard,
         losses: LossSharing,
         crashes: CrashSharing,
@@ -69,7 +69,7 @@
         self._asked_at = float("-inf")
         self._packed = b""  # the loads of all nodes
         self._packed_at = float("-inf")
-        self.arrival = Arrival(BODY_TIME, SILENCE)  # progress of the store's answers to this node's watch
+        self.arrival = Arrival(BODY_EXTRA_TIME_S, MAX_SILENCE_S)  # progress of the store's answers to this node's watch
 
     def has_followers(self) -> bool:
         """Check whether other nodes ask this one for changes."""
@@ -98,7 +98,7 @@
             self._crashes.compare(report.vm, report.crashes)
             self._permits.apply_limits(report.limits)
         if request.path == LOADS_PATH and report is not None:
-            self._board.take_relay(report.vm, report.loads)
+            self._board.record_relay(report.vm, report.loads)
             await answer.send_whole(OK, [], b"")
             return
         since = query.get("since", [""])[0]
@@ -106,7 +106,7 @@
             await answer.send_whole(404, [], b"")
             return
         if report is not None:
-            self._board.take_follower(report.vm, report.loads)
+            self._board.record_follower(report.vm, report.loads)
         await self._answer_changes(int(since), request.arrived, answer)
 
     async def _answer_changes(self, since: int, arrived: float, answer: ClientAnswer) -> None:
@@ -167,7 +167,7 @@
 
     def _pack_all(self, now: float) -> bytes:
         """Pack the loads of all nodes; answers sent at about the same time share the result."""
-        if now - self._packed_at >= SUM_AGE:
+        if now - self._packed_at >= MAX_SUM_AGE_S:
             self._packed = pack_loads(self._board.sum_all(self._beliefs.list_loads()))
             self._packed_at = now
         return self._packed
--- a/packages/node/src/vaneturn_node/traffic/sharing/crashsharing.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/crashsharing.py
@@ -16,7 +16,7 @@
 
 from vaneturn_core.identifiers import VmId
 from vaneturn_core.traffic.contents import Content
-from vaneturn_core.traffic.crashes import CrashBoard, ServerEnd, Suspicion
+from vaneturn_core.traffic.crashes import CrashBoard, ServerCrash, Suspicion
 from vaneturn_core.traffic.relays import list_relays, rank_relays
 from vaneturn_core.traffic.servers import ServerId
 from vaneturn_core.traffic.view import PlatformView
@@ -111,7 +111,7 @@
         targets = self._list_targets() if self._reported_check != self._board.check else set()
         targets |= self._differing
         self._reported_check, self._differing = self._board.check, set()
-        report = CrashReport(self._vm, self._board.check, pack_crashes(self._board.list_ends(), read_clock()))
+        report = CrashReport(self._vm, self._board.check, pack_crashes(self._board.list_crashes(), read_clock()))
         async with anyio.create_task_group() as tasks:
             for target in targets:
                 address = self._view.nodes.get(target)
@@ -128,7 +128,7 @@
         return {node for node in nodes if node in relays or rank_relays(node, nodes)[0] == self._vm}
 
 
-def pack_crashes(crashes: dict[ServerId, ServerEnd], now: float) -> list[CrashRow]:
+def pack_crashes(crashes: dict[ServerId, ServerCrash], now: float) -> list[CrashRow]:
     """Pack crashes with their ages."""
     return [
         CrashRow(
@@ -141,13 +141,13 @@
     ]
 
 
-def unpack_crashes(rows: list[CrashRow], now: float) -> dict[ServerId, ServerEnd]:
+def unpack_crashes(rows: list[CrashRow], now: float) -> dict[ServerId, ServerCrash]:
     """Unpack crashes whose ages count from a monotonic time.
 
     :raises ValueError: a row contains an unknown suspicion.
     """
     return {
-        ServerId(row.server): ServerEnd(
+        ServerId(row.server): ServerCrash(
             now - max(0.0, row.age),
             row.software,
             {Content(content): Suspicion(suspicion) for content, suspicion in row.suspects},
--- a/packages/node/src/vaneturn_node/traffic/sharing/losssharing.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/losssharing.py
@@ -69,9 +69,9 @@
             return
         before = self.version
         if report.vm in list_relays(self._parts.view.nodes):
-            self._parts.losses.take_relay(report.vm, findings, self._list_own())
+            self._parts.losses.record_relay(report.vm, findings, self._list_own())
         else:
-            self._parts.losses.take_follower(report.vm, findings, self._list_own())
+            self._parts.losses.record_follower(report.vm, findings, self._list_own())
             self._parts.loss_found.notify()
         if self.version != before:
             self._adopt(self._parts.losses.list_confirmed(self._list_own()), report.vm)
@@ -95,23 +95,23 @@
         now = read_clock()
         beliefs = self._parts.beliefs
         for server in self._adopted.keys() - confirmed.keys():  # it has responded again to the nodes that reported it
-            if beliefs[server].told_until == self._adopted[server]:
-                beliefs[server].told_until = float("-inf")
+            if beliefs[server].reported_until == self._adopted[server]:
+                beliefs[server].reported_until = float("-inf")
         self._adopted = dict(confirmed)
-        taken = [server for server, until in confirmed.items() if beliefs[server].take_told_loss(until, now)]
+        taken = [server for server, until in confirmed.items() if beliefs[server].record_reported_loss(until, now)]
         if taken:
             backoffs = [round(confirmed[server] - now, 3) for server in taken]
             logger.info("losses told", extra={"servers": taken, "rests": backoffs, "teller": reporter})
 
     def _list_own(self) -> Findings:
-        found = self._parts.beliefs.list_found(read_clock())
+        found = self._parts.beliefs.list_failed(read_clock())
         return {server: Finding(until) for server, until in found.items()}
 
     async def _send_reports(self) -> None:
         nodes = self._parts.view.nodes
         ranked = rank_relays(self._vm, nodes)
         targets = ranked[:1] or [relay for relay in list_relays(nodes) if relay != self._vm]
-        findings = self._list_own() if ranked else self._parts.losses.join_followers(self._list_own())
+        findings = self._list_own() if ranked else self._parts.losses.merge_followers(self._list_own())
         if not findings and not self._has_reported:
             return
         self._has_reported = bool(findings)
--- a/tests/core/routing/test_recovery.py
+++ b/tests/core/routing/test_recovery.py
@@ -1,4 +1,4 @@
-"""The way to move a cache is the one that is expected to be done first."""
+"""The method with the shortest estimate is chosen to move a cache."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     assert choose(4000, 1e7, 0.001) is Method.REBUILD
 
 
-def test_measured_bandwidth_goes_before_the_declared_one() -> None:
+def test_measured_bandwidth_takes_precedence_over_the_declared_one() -> None:
     links = LinkTable()
     links.declare([Link(halls=(OLD, NODE), latency=0.0, bandwidth=1e9)])
     fast = links.estimate_transfer(OLD, NODE, 1e6)
--- a/tests/core/routing/test_routes.py
+++ b/tests/core/routing/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes tile the layers whatever the stages are."""
+"""Routes tile the layers for arbitrary stages."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class IdleLoad:
-    """No server is full, all are equally fast."""
+    """No server is full, and all latencies are unknown."""
 
     def is_full(self, _vm: VmId) -> bool:
         return False
@@ -44,7 +44,7 @@
 
 
 def can_cover(pipeline: Pipeline, avoided: Collection[VmId]) -> bool:
-    """Tell by a search of its own whether the stages reach from the first layer to the last."""
+    """Tell by an independent search whether the stages reach from the first layer to the last."""
     reached = {0}
     for _ in pipeline.stages:
         for stage in pipeline.stages:
@@ -65,7 +65,7 @@
 
 
 @given(pipelines, st.text(max_size=5))
-def test_route_is_the_same_on_every_node_and_survives_the_loss_of_others(pipeline: Pipeline, affinity: str) -> None:
+def test_route_is_the_same_on_every_node_and_independent_of_unused_servers(pipeline: Pipeline, affinity: str) -> None:
     flow = compute_flow(pipeline, ())
     route = choose_route(flow, LAYERS, affinity, IdleLoad(), ())
     assert route == choose_route(flow, LAYERS, affinity, IdleLoad(), ())
@@ -83,7 +83,7 @@
         assert flow.bound <= over * (1 + 1e-9)
 
 
-def test_bound_of_aligned_stages_is_the_narrowest() -> None:
+def test_bound_of_aligned_stages_is_that_of_the_narrowest_range() -> None:
     pipeline = make_pipeline([(0, 4, 100), (0, 4, 50), (4, 8, 80), (4, 8, 40)])
     assert compute_flow(pipeline, ()).bound == pytest.approx(120)
 
@@ -97,7 +97,7 @@
 
 
 class UnevenLoad(IdleLoad):
-    """Latencies by server; 0 where nothing is known."""
+    """Latencies by server; 0 where unknown."""
 
     def __init__(self, latencies: dict[str, float]) -> None:
         self._latencies = latencies
@@ -114,7 +114,7 @@
         pytest.param(0.06, False, id="alike"),
     ],
 )
-def test_preferred_server_is_left_only_for_one_known_to_be_faster(other: float, moves: bool) -> None:  # noqa: FBT001
+def test_preferred_server_is_replaced_only_by_a_server_known_to_be_faster(other: float, moves: bool) -> None:  # noqa: FBT001
     flow = compute_flow(make_pipeline([(0, 8, 100), (0, 8, 100)]), ())
     preferred = choose_route(flow, LAYERS, "session", IdleLoad(), ())
     assert preferred is not None
--- a/tests/node/traffic/following/test_serverentries.py
+++ b/tests/node/traffic/following/test_serverentries.py
@@ -22,14 +22,14 @@
 from standins.platform.operator import make_configuration
 from vaneturn_core.faults import Fault
 from vaneturn_core.identifiers import NodeId, VmId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.contents import Content
 from vaneturn_core.traffic.crashes import Suspicion
 from vaneturn_core.traffic.servers import BackendServer, ServerName, identify_start
 from vaneturn_core.traffic.view import PlatformView, StoreContact
 from vaneturn_node.http1.caller import Caller, Failed, Reply
 from vaneturn_node.http1.pool import LinkPool
-from vaneturn_node.platform.servers import MAX_ENTRY, ServerCalls, ServerReport, decode_server
+from vaneturn_node.platform.servers import MAX_ENTRY_BYTES, ServerCalls, ServerReport, decode_server
 from vaneturn_node.platform.store import PlatformStore, StoreItem
 from vaneturn_node.traffic.duties.tenure import Tenure
 from vaneturn_node.traffic.following.viewkeeping import ViewKeeper
@@ -58,7 +58,7 @@
     def __init__(self) -> None:
         caller = Caller(LinkPool())
         self.view = PlatformView(5.0, time.monotonic)
-        self.beliefs = ServerBeliefs()
+        self.beliefs = ServerStatuses()
         self.parts = make_parts("entry-1", self.view, self.beliefs, caller)
         store = PlatformStore(caller, make_server(1, None).address)
         tenure = Tenure(store, NodeId("n"), VmId("entry-1"), lambda: None)
@@ -96,7 +96,9 @@
     assert fault.path.startswith(f"$.{field}")
 
 
-@pytest.mark.parametrize("value", [b"", b"\xff\xfe", b"[]", b"null", b"{", b"[" * 100_000, b" " * (MAX_ENTRY + 1)])
+@pytest.mark.parametrize(
+    "value", [b"", b"\xff\xfe", b"[]", b"null", b"{", b"[" * 100_000, b" " * (MAX_ENTRY_BYTES + 1)]
+)
 def test_bytes_that_are_no_entry_are_no_server(value: bytes) -> None:
     assert isinstance(decode_server(ServerName("i-1"), value), Fault)
 
@@ -155,14 +157,14 @@
     belief = node.beliefs[first.id]
     belief.record_failure(time.monotonic())
     belief.is_replaced, belief.leading, belief.reserved = True, 4, 900.0
-    node.parts.crashes.note_lost(first.id, "v1", Content(1), Suspicion.UNHEARD)
+    node.parts.crashes.record_lost_connection(first.id, "v1", Content(1), Suspicion.NO_EVENT)
     node.put("servers/i-1", SOUND, born=1_790_000_009_000, layers=None)
     node.keeper.forget_lapsed()
     (second,) = node.view.servers.values()
     assert (second.name, second.layers) == ("i-1", ())
     fresh = node.beliefs[second.id]
-    assert (fresh.resting_until, fresh.is_replaced, fresh.leading, fresh.reserved) == (float("-inf"), False, 0, 0.0)
-    assert node.parts.crashes.list_ends_under(Content(1)) == [first.id]  # the previous start has crashed
+    assert (fresh.backoff_until, fresh.is_replaced, fresh.leading, fresh.reserved) == (float("-inf"), False, 0, 0.0)
+    assert node.parts.crashes.list_crashed_servers(Content(1)) == [first.id]  # the previous start has crashed
     assert list(node.parts.list_eligible(second.service, [])) == [second]
 
 
--- a/tests/node/traffic/serving/test_streamtry.py
+++ b/tests/node/traffic/serving/test_streamtry.py
@@ -1,7 +1,8 @@
-"""A try gives way to another, or goes on: never both.
+"""A try either resumes or is replaced by the next one, never both.
 
-The head of the next try came in the same turn of the event loop as more of the answer of the one before: that one ended
-the next, and then gave way to it all the same. The steps end with "goes on where it was", and the answer was cut.
+Guards against a race: the head of the next try arrives in the same turn of the event loop as more data of the first
+one. The first try then cancelled the next one and was still replaced by it. The steps in the log ended with "goes on
+where it was", and the answer was cut.
 """
 
 from __future__ import annotations
@@ -14,35 +15,37 @@
 
 from core.traffic.samples import make_server
 from node.traffic.samples import make_parts
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.chain import Chain, Part
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.http1.caller import Caller
 from vaneturn_node.http1.pool import LinkPool
-from vaneturn_node.traffic.serving.repair import TryOverError
+from vaneturn_node.traffic.serving.repair import TryEndedError
 from vaneturn_node.traffic.serving.streamtry import StreamTry
 
 pytestmark = pytest.mark.anyio
 
 
 def make_try() -> StreamTry:
-    parts = make_parts("entry-1", PlatformView(5.0, time.monotonic), ServerBeliefs(), Caller(LinkPool()))
-    work: Any = SimpleNamespace(runs=0, may_have_run=False, facts=SimpleNamespace(id="request-1"))
+    parts = make_parts("entry-1", PlatformView(5.0, time.monotonic), ServerStatuses(), Caller(LinkPool()))
+    context: Any = SimpleNamespace(runs=0, may_have_run=False, facts=SimpleNamespace(id="request-1"))
     chooser: Any = SimpleNamespace(tokens=100)
     chain = Chain(80, (Part(make_server(1, "a100", layers=(0, 80)), 0, 80),))
     client: Any = SimpleNamespace()
-    return StreamTry(parts=parts, work=work, chooser=chooser, chain=chain, client=client, find_next=lambda _: None)
+    return StreamTry(
+        parts=parts, context=context, chooser=chooser, chain=chain, client=client, prepare_next=lambda _: None
+    )
 
 
 async def test_try_that_went_on_gives_way_no_more() -> None:
-    made = make_try()
-    made._is_back = True
-    with pytest.raises(TryOverError):
-        await made._give_way(is_gone=False)
-    assert not made._is_replaced
+    stream_try = make_try()
+    stream_try._has_resumed = True
+    with pytest.raises(TryEndedError):
+        await stream_try._yield_to_next(is_first_lost=False)
+    assert not stream_try._is_replaced
 
 
 async def test_try_that_is_still_silent_gives_way() -> None:
-    made = make_try()
-    await made._give_way(is_gone=False)
-    assert made._is_replaced
+    stream_try = make_try()
+    await stream_try._yield_to_next(is_first_lost=False)
+    assert stream_try._is_replaced
--- a/tests/node/traffic/sharing/test_changes.py
+++ b/tests/node/traffic/sharing/test_changes.py
@@ -12,8 +12,8 @@
 from core.traffic.samples import make_server
 from node.traffic.samples import Answer, make_crash_sharing, make_parts, make_sharing
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
-from vaneturn_core.traffic.loads import SUM_AGE, LoadBoard
+from vaneturn_core.traffic.beliefs import ServerStatuses
+from vaneturn_core.traffic.loads import MAX_SUM_AGE_S, LoadBoard
 from vaneturn_core.traffic.relays import RelayTimes
 from vaneturn_core.traffic.servers import ServerId, ServerLoad
 from vaneturn_core.traffic.view import PlatformView
@@ -62,7 +62,7 @@
         self.log = ChangeLog()
         self.log.replace([], 5)
         self.view.confirm(time.monotonic())
-        self.beliefs = ServerBeliefs()
+        self.beliefs = ServerStatuses()
         self.board = LoadBoard(time.monotonic)
         self.parts = make_parts("entry-1", self.view, self.beliefs, Caller(LinkPool()))
         self.losses = LossSharing(VmId("entry-1"), self.parts, Caller(LinkPool()), self.log)
@@ -84,7 +84,7 @@
 
 def make_client(caller: Caller, name: str = "entry-2", busy: int = 0) -> tuple[ChangeClient, LoadBoard]:
     """Make the client of a node that leads some requests over the server i-1."""
-    beliefs, board = ServerBeliefs(), LoadBoard(time.monotonic)
+    beliefs, board = ServerStatuses(), LoadBoard(time.monotonic)
     lead(beliefs, busy)
     view = PlatformView(5.0, time.monotonic)
     view.put_server(make_server(1, "a100", "east"))
@@ -103,7 +103,7 @@
     return client, board
 
 
-def lead(beliefs: ServerBeliefs, requests: int) -> None:
+def lead(beliefs: ServerStatuses, requests: int) -> None:
     belief = beliefs[BUSY]
     belief.in_progress = belief.leading = requests
     belief.reserved = RESERVED * requests
@@ -118,21 +118,21 @@
     relay, other = Relay(), Relay()
     lead(relay.beliefs, 1)
     await make_client(Transport(other.server), "entry-4", busy=20)[0].ask("relay", 4)
-    relay.board.take_relay(VmId("entry-9"), other.board.sum_followers({}))
+    relay.board.record_relay(VmId("entry-9"), other.board.sum_followers({}))
     for name, busy in (("entry-2", 3), ("entry-3", 5)):
         relay.hear(StoreItem("servers/i-1", b"entry", 6), revision=6)
-        await anyio.sleep(SUM_AGE)  # requests at about the same time share one sum
+        await anyio.sleep(MAX_SUM_AGE_S)  # requests at about the same time share one sum
         client, board = make_client(Transport(relay.server), name, busy)
         assert await client.ask("relay", 5) is not None
-    assert board.find_others(BUSY) == ServerLoad(1 + 3 + 20, 24 * RESERVED)
-    assert relay.board.find_others(BUSY) == ServerLoad(3 + 5 + 20, 28 * RESERVED)
-    assert relay.board.find_others(ServerId("i-2")) == ServerLoad(0, 0.0)
+    assert board.get_others(BUSY) == ServerLoad(1 + 3 + 20, 24 * RESERVED)
+    assert relay.board.get_others(BUSY) == ServerLoad(3 + 5 + 20, 28 * RESERVED)
+    assert relay.board.get_others(ServerId("i-2")) == ServerLoad(0, 0.0)
 
 
 async def test_relays_tell_each_other() -> None:
     relay = Relay()
     await make_client(Transport(relay.server), "entry-1")[0].report_loads("relay", {BUSY: ServerLoad(7, 7 * RESERVED)})
-    assert relay.board.find_others(BUSY) == ServerLoad(7, 7 * RESERVED)
+    assert relay.board.get_others(BUSY) == ServerLoad(7, 7 * RESERVED)
 
 
 async def test_rate_limit_that_one_node_was_told_reaches_all_others() -> None:
--- a/tests/node/traffic/sharing/test_crashsharing.py
+++ b/tests/node/traffic/sharing/test_crashsharing.py
@@ -13,7 +13,7 @@
 from rig.traffic import wait_for
 from vaneturn_core.identifiers import VmId
 from vaneturn_core.traffic.contents import Content
-from vaneturn_core.traffic.crashes import MAX_ENDS, CrashBoard, Suspicion
+from vaneturn_core.traffic.crashes import MAX_CRASHES, CrashBoard, Suspicion
 from vaneturn_core.traffic.relays import list_relays
 from vaneturn_core.traffic.servers import ServerId
 from vaneturn_core.traffic.view import PlatformView
@@ -58,7 +58,7 @@
         return Reply(200, b"")
 
     def end(self, name: str, server: str) -> None:
-        self.boards[name].note_lost(ServerId(server), "v1", GUILTY, Suspicion.UNHEARD)
+        self.boards[name].record_lost_connection(ServerId(server), "v1", GUILTY, Suspicion.NO_EVENT)
         self.boards[name].confirm(ServerId(server))
 
     def list_barring(self) -> set[str]:
@@ -130,7 +130,7 @@
         for node in mesh.nodes.values():
             tasks.start_soon(node.run)
         mesh.cut = set(names)
-        for number in range(MAX_ENDS):
+        for number in range(MAX_CRASHES):
             for name in names:
                 mesh.end(name, f"i-{name}-{number}")
         await anyio.sleep(0.3)
@@ -156,6 +156,6 @@
 def test_any_word_is_taken_or_left(body: bytes) -> None:
     board = CrashBoard(time.monotonic, lambda: {"v1"})
     CrashSharing(VmId("entry-1"), board, PlatformView(5.0, time.monotonic), Caller(LinkPool())).take(body)
-    for end in board.list_ends().values():
+    for end in board.list_crashes().values():
         assert end.at <= time.monotonic()
         assert all(isinstance(word, Suspicion) for word in end.suspects.values())
--- a/tests/rig/fleetmodel.py
+++ b/tests/rig/fleetmodel.py
@@ -15,11 +15,11 @@
 from dataclasses import dataclass, field
 
 from vaneturn_core.identifiers import DataHall, VmId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.chain import Chain
 from vaneturn_core.traffic.chains import ChainChooser
 from vaneturn_core.traffic.configuration import EngineProfile
-from vaneturn_core.traffic.layermap import HOP_TIME, LayerMap, Part
+from vaneturn_core.traffic.layermap import HOP_TIME_S, LayerMap, Part
 from vaneturn_core.traffic.loads import LoadBoard
 from vaneturn_core.traffic.losses import Finding, LossBoard
 from vaneturn_core.traffic.retries import WindowedRetryBudget
@@ -69,7 +69,7 @@
 class _Node:
     vm: VmId
     hall: DataHall
-    beliefs: ServerBeliefs
+    beliefs: ServerStatuses
     board: LoadBoard
     budget: WindowedRetryBudget
     used: dict[ServerId, float] = field(default_factory=dict)  # when the newest stream began there
@@ -148,7 +148,7 @@
 
     def _make_node(self, index: int, hall: DataHall) -> _Node:
         budget = WindowedRetryBudget(RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW, lambda: len(self._nodes), lambda: self.now)
-        return _Node(VmId(f"entry-{index}"), hall, ServerBeliefs(), LoadBoard(lambda: self.now), budget)
+        return _Node(VmId(f"entry-{index}"), hall, ServerStatuses(), LoadBoard(lambda: self.now), budget)
 
     def _schedule(self, delay: float, action: Callable[[], None]) -> None:
         heapq.heappush(self._events, (self.now + delay, next(self._order), action))
@@ -157,7 +157,7 @@
         """Count the loads of all nodes, and bring them to a node when they are old."""
         total = {server: ServerLoad(work.leading, work.taken) for server, work in self._work.items() if work.taken > 0}
         own = node.beliefs.list_loads()
-        self._schedule(WORD_LAG, lambda: node.board.take_total(total, own))
+        self._schedule(WORD_LAG, lambda: node.board.record_total(total, own))
         self._schedule(TELL_INTERVAL, lambda: self._count_loads(node))
 
     def _arrive(self) -> None:
@@ -176,10 +176,10 @@
         for number in range(MAX_TRIES):
             if number and not node.budget.spend():
                 break
-            able = node.beliefs.list_choosable(self.servers, avoided, self.now)
+            able = node.beliefs.list_eligible(self.servers, avoided, self.now)
             chooser = ChainChooser(
                 layer_map=self._layer_map,
-                beliefs=node.beliefs,
+                statuses=node.beliefs,
                 node=node.vm,
                 hall=node.hall,
                 share=node.beliefs.estimate_share(len(self._nodes), self.now),
@@ -206,8 +206,8 @@
     def _tell_losses(self, node: _Node) -> None:
         """Bring what a node has found to the relays, and what two nodes have found to all."""
         before = self._losses.version
-        found = node.beliefs.list_found(self.now)
-        self._losses.take_follower(node.vm, {server: Finding(until) for server, until in found.items()}, {})
+        found = node.beliefs.list_failed(self.now)
+        self._losses.record_follower(node.vm, {server: Finding(until) for server, until in found.items()}, {})
         if self._losses.version == before:
             return
         confirmed = self._losses.list_confirmed({})
@@ -215,7 +215,7 @@
         def adopt() -> None:
             for each in self._nodes:
                 for server, until in confirmed.items():
-                    each.beliefs[server].take_told_loss(until, self.now)
+                    each.beliefs[server].record_reported_loss(until, self.now)
 
         self._schedule(TELL_TIME, adopt)
 
@@ -255,7 +255,7 @@
         factor = self._engine.kinds[part.server.kind or ""].step_factor * (part.end - part.first) / self._engine.layers
         held = sum(len(layers) for layers in part.server.layers)
         grown = self._engine.step_growth * self._work[part.server.id].taken / max(1, held)
-        return factor * (self._engine.step + grown) + HOP_TIME
+        return factor * (self._engine.step + grown) + HOP_TIME_S
 
     def _reserve(self, node: _Node, chain: Chain, tokens: float, sign: int) -> None:
         for part in chain.parts:
