--- a/packages/core/src/vaneturn_core/traffic/beliefs.py
+++ b/packages/core/src/vaneturn_core/traffic/beliefs.py
@@ -1,4 +1,4 @@
-"""What a node has seen of the backend servers, and what they have asked of it."""
+"""The status of each backend server: what this node has observed, what others reported, what the server asked for."""
 
 from __future__ import annotations
 
@@ -8,214 +8,220 @@
 
 from vaneturn_core.traffic.servers import BackendServer, ServerId, ServerLoad, ServerState
 
-FIRST_REST: Final = 0.7  # seconds without new work after a failure; a process restarts in about that time
-MAX_REST: Final = 8.0  # seconds; a server that is gone leaves the list sooner
-REST_GROWTH: Final = 2.0  # with each failure in a row
-FULL_REST: Final = 0.25  # seconds without new work after a refusal for want of room; some requests end in that time
-ALIVE_AGE: Final = 0.5  # seconds since a token for which a server that refuses is taken to be full, not lost
-LIKELY_FULL: Final = 0.6  # of its memory or places, from which a refusal is for want of room: word is 1 to 2 s old
-MEMORY_OF_FAILURES: Final = 12.0  # seconds after which a failure counts as the first again
+FIRST_BACKOFF_S: Final = 0.7  # after a first failure; about the time that a process takes to restart
+MAX_BACKOFF_S: Final = 8.0  # a server that has ended leaves the list sooner
+BACKOFF_GROWTH: Final = 2.0  # factor for each consecutive failure
+FULL_BACKOFF_S: Final = 0.25  # after a refusal by a full server; some of its requests end in that time
+ALIVE_AGE_S: Final = 0.5  # a server that sent a token within this time and refuses is full, not lost
+# share of memory or places in use from which a refusal is taken as lack of capacity; below 1, since reported loads are
+# 1 to 2 s old
+LIKELY_FULL_SHARE: Final = 0.6
+FAILURE_MEMORY_S: Final = 12.0  # a failure after a longer gap counts as the first again
 LATENCY_WEIGHT: Final = 0.25  # of the newest answer in the moving average
-ERROR_WEIGHT: Final = 0.2  # of the newest answer in the share of errors
-MAX_ERRORS: Final = 0.5  # share of errors from which a server rests; sound ones answer up to 14% of requests so
-SLOWNESS_MEMORY: Final = 4.0  # seconds
-TOLD_AGE: Final = 1.5  # seconds for which a told load is compared with the own
-MAX_SHARE: Final = 3.0  # of the equal share: what was told may be as old as the time above
-RETURN_GAP: Final = 0.3  # seconds between requests to a server that asked for rest, until it has taken one
-MAX_RESTING_SHARE: Final = 0.5  # of the servers that could be chosen; beyond it, rest counts for nothing
+ERROR_WEIGHT: Final = 0.2  # of the newest answer in the moving error rate
+MAX_ERROR_RATE: Final = 0.5  # error rate above which a server is backed off; healthy servers reach 14%
+MAX_SLOWNESS_AGE_S: Final = 4.0  # time for which a reported slowness is used
+MAX_LOAD_AGE_S: Final = 1.5  # time for which a load that a server reported is compared with this node's own
+MAX_LOAD_FACTOR: Final = 3.0  # times the equal share; needed since a reported load may be MAX_LOAD_AGE_S old
+TRIAL_INTERVAL_S: Final = 0.3  # time between trial requests after a rest, until the server has accepted one
+MAX_BACKOFF_SHARE: Final = 0.5  # of the eligible servers; if more are backed off, backoffs are ignored
 
 
 @dataclass(slots=True)
-class ServerBelief:
-    """What this node has seen of one server."""
+class ServerStatus:
+    """The status of one server as this node knows it; all times are monotonic."""
 
     in_progress: int = 0
-    heard_at: float = float("-inf")  # when a token last came over a chain with this server
+    token_at: float = float("-inf")  # when a chain with this server last delivered a token
     reserved: float = 0.0  # tokens times layers of the requests in progress from this node
-    latency: float = 0.0  # moving average of whole answers or first events, seconds
-    failures: int = 0  # in a row
+    latency: float = 0.0  # seconds; moving average over whole answers or first events
+    failures: int = 0  # consecutive
     failed_at: float = float("-inf")
-    full_until: float = float("-inf")  # until when it rests for want of room
-    told_until: float = float("-inf")  # until when it rests as other nodes have found it lost
-    found_until: float = float("-inf")  # until when it rests after failures seen by this node
-    permit_at: float = float("-inf")  # when it may next have room for a request from this node, by its rate limit
-    rest_until: float = float("-inf")  # until when it asked for no request from this node
-    returned_at: float = float("-inf")  # when a request last went there after a rest, to see whether it takes any
-    is_returning: bool = False  # it has not taken a request since it asked for rest
+    full_until: float = float("-inf")  # end of the backoff for lack of capacity
+    reported_until: float = float("-inf")  # end of the backoff after losses that other nodes reported
+    failed_until: float = float("-inf")  # end of the backoff after failures seen by this node
+    permit_at: float = float("-inf")  # earliest time at which its rate limit may allow a request from this node
+    rest_until: float = float("-inf")  # end of the rest that the server asked for
+    trial_at: float = float("-inf")  # when the last trial request after a rest was sent
+    is_returning: bool = False  # it has not accepted a request since it asked for rest
     is_leaving: bool = False  # it said so in an answer; the list may show that later
-    is_replaced: bool = False  # its address answered under another id
-    slowness: float = 1.0  # told by the server: over 1, it is slower than its kind
+    is_replaced: bool = False  # its address answered with another id
+    slowness: float = 1.0  # reported by the server; above 1, it is slower than its kind
     slowness_at: float = float("-inf")
-    leading: int = 0  # requests from this node that it is the first server of
-    told_load: int = 0  # requests running and waiting there from all nodes, as the server said last
-    told_at: float = float("-inf")
-    errors: float = 0.0  # share of its newest answers that were failures of its own
+    leading: int = 0  # requests from this node whose first server it is
+    reported_load: int = 0  # requests running and waiting there from all nodes, as last reported by the server
+    reported_at: float = float("-inf")
+    error_rate: float = 0.0  # moving average: share of answers that were failures of the server itself
 
     @property
-    def resting_until(self) -> float:
-        """Give the time until which it gets no new work."""
-        return max(self.full_until, self.told_until, self.found_until)
+    def backoff_until(self) -> float:
+        """Return the end of the longest backoff; until then the server gets no new work."""
+        return max(self.full_until, self.reported_until, self.failed_until)
 
     def may_take_request(self, now: float) -> bool:
-        """Tell whether the server accepts requests from this node, by what it has asked for itself.
+        """Tell whether its rate limit and the rest it asked for allow a request from this node.
 
-        Parts of a chain after the first get their work from other servers, so this does not concern them.
+        Only the first server of a chain gets requests from nodes, so this does not apply to the later parts.
         """
         return self.permit_at <= now and not self.is_closed(now)
 
     def is_closed(self, now: float) -> bool:
-        """Tell whether it asked for no requests, or is tried by a first one after that."""
-        is_tried = self.is_returning and now < self.returned_at + RETURN_GAP
-        return self.is_leaving or now < self.rest_until or is_tried
+        """Tell whether it is leaving, is at rest, or has a trial request pending after its rest."""
+        is_trial_pending = self.is_returning and now < self.trial_at + TRIAL_INTERVAL_S
+        return self.is_leaving or now < self.rest_until or is_trial_pending
 
     def compute_wait(self, now: float) -> float:
-        """Compute the seconds until it may take a request, unless it leaves."""
-        returns_at = self.returned_at + RETURN_GAP if self.is_returning else self.rest_until
+        """Compute the seconds until it may get a request, unless it is leaving."""
+        returns_at = self.trial_at + TRIAL_INTERVAL_S if self.is_returning else self.rest_until
         return max(0.0, max(self.permit_at, self.rest_until, returns_at) - now)
 
     def claim_send(self, now: float) -> bool:
-        """Ask right before a send whether it may be made; false when it may not."""
+        """Claim permission for a send, right before it is made; false when the server is closed."""
         if self.is_closed(now):
             return False
         if self.is_returning:
-            self.returned_at = now
+            self.trial_at = now
         return True
 
     def take_rest(self, until: float) -> None:
-        """Take note that the server wants no request from this node until a time; the latest time holds."""
+        """Record that the server wants no request from this node until a time; the latest such time applies."""
         self.rest_until = max(self.rest_until, until)
         self.is_returning = True
 
     def note_taken(self, sent_at: float) -> None:
-        """Take note that the server has taken a request that was sent at a time."""
+        """Record that the server has accepted a request; one sent before the end of the rest proves nothing."""
         if sent_at >= self.rest_until:
             self.is_returning = False
 
     def record_success(self, seconds: float) -> None:
-        """Take an answer into the average; failures before it count no more."""
+        """Record an answer in the averages and reset the count of failures."""
         self.failures = 0
         self.latency = seconds if not self.latency else self.latency + LATENCY_WEIGHT * (seconds - self.latency)
 
-        self.errors *= 1 - ERROR_WEIGHT
+        self.error_rate *= 1 - ERROR_WEIGHT
 
     def record_token(self, now: float) -> None:
-        """Take a token that came over a chain with this server; losses found or told before it count no more."""
-        self.heard_at = now
+        """Record a token from a chain with this server; it ends backoffs for failures and reported losses."""
+        self.token_at = now
         self.failures = 0
-        self.found_until = self.told_until = float("-inf")
+        self.failed_until = self.reported_until = float("-inf")
 
     def record_error(self, now: float) -> None:
-        """Take a failure that the server itself reported; a server that reports many of them rests."""
-        self.errors += ERROR_WEIGHT * (1 - self.errors)
-        if self.errors > MAX_ERRORS:
-            self.errors = 0.0
+        """Record an error answer of the server itself; a high error rate counts as a failure."""
+        self.error_rate += ERROR_WEIGHT * (1 - self.error_rate)
+        if self.error_rate > MAX_ERROR_RATE:
+            self.error_rate = 0.0
             self.record_failure(now)
 
     def take_load(self, load: int, now: float) -> None:
-        """Take what a server said of its load."""
-        self.told_load = load
-        self.told_at = now
+        """Record the load that the server reported."""
+        self.reported_load = load
+        self.reported_at = now
 
     def take_slowness(self, slowness: float, now: float) -> None:
-        """Take what a server said of its speed."""
+        """Record the slowness that the server reported."""
         self.slowness = slowness
         self.slowness_at = now
 
-    def read_slowness(self, now: float) -> float:
-        """Read its slowness; what was said long ago counts for nothing, so that it is tried again."""
-        return self.slowness if now - self.slowness_at < SLOWNESS_MEMORY else 1.0
+    def get_slowness(self, now: float) -> float:
+        """Return its slowness; an old report is ignored, so that the server is used again."""
+        return self.slowness if now - self.slowness_at < MAX_SLOWNESS_AGE_S else 1.0
 
     def record_refusal(self, now: float, fullness: float = 0.0) -> None:
-        """Take a refusal; a server that has worked a moment ago, or was nearly full, lacks room, and has some soon.
+        """Record a refusal: a short backoff if the server is probably full, a failure otherwise.
 
-        With the rest of a lost server, up to 8 s, two full servers left no chain: 180 requests of a day were refused.
+        It is probably full if it sent a token a moment ago or was reported nearly full, and has capacity again soon.
+        With the backoff of a lost server, up to 8 s, two full servers left no chain and caused 180 refusals in a day.
 
-        :param fullness: share of its memory or places taken, by what nodes tell.
+        :param fullness: share of its memory or places in use, as reported by nodes.
         """
-        if now - self.heard_at > ALIVE_AGE and fullness < LIKELY_FULL:
+        if now - self.token_at > ALIVE_AGE_S and fullness < LIKELY_FULL_SHARE:
             self.record_failure(now)
             return
-        self.full_until = max(self.full_until, now + FULL_REST)
+        self.full_until = max(self.full_until, now + FULL_BACKOFF_S)
 
-    def take_told_loss(self, until: float, now: float) -> bool:
-        """Take over that other nodes leave it alone until a time; false when this node has just heard from it."""
-        if now - self.heard_at <= ALIVE_AGE or until <= self.resting_until:
+    def record_reported_loss(self, until: float, now: float) -> bool:
+        """Adopt the backoff of other nodes; false when a token came just now or the backoff is no longer than known."""
+        if now - self.token_at <= ALIVE_AGE_S or until <= self.backoff_until:
             return False
-        self.told_until = until
+        self.reported_until = until
         return True
 
     def record_failure(self, now: float) -> float:
-        """Count a failure; gives the seconds for which the server gets no new work."""
-        if now - self.failed_at > MEMORY_OF_FAILURES:
+        """Record a failure and return the seconds of backoff."""
+        if now - self.failed_at > FAILURE_MEMORY_S:
             self.failures = 0
-        rest = min(MAX_REST, FIRST_REST * REST_GROWTH**self.failures)
+        rest = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * BACKOFF_GROWTH**self.failures)
         self.failures += 1
         self.failed_at = now
-        self.found_until = now + rest
+        self.failed_until = now + rest
         return rest
 
 
-class ServerBeliefs:
-    """The beliefs about all servers in the list."""
+class ServerStatuses:
+    """The status of all servers in the list."""
 
     def __init__(self) -> None:
-        self._beliefs: dict[ServerId, ServerBelief] = {}
+        self._statuses: dict[ServerId, ServerStatus] = {}
 
-    def __getitem__(self, server: ServerId) -> ServerBelief:
-        return self._beliefs.setdefault(server, ServerBelief())
+    def __getitem__(self, server: ServerId) -> ServerStatus:
+        return self._statuses.setdefault(server, ServerStatus())
 
     @property
-    def heard_at(self) -> float:
-        """Give when a token last came over any chain, steady time."""
-        return max((belief.heard_at for belief in self._beliefs.values()), default=float("-inf"))
+    def newest_token_at(self) -> float:
+        """Return the monotonic time at which the last token came over any chain."""
+        return max((status.token_at for status in self._statuses.values()), default=float("-inf"))
 
     def list_loads(self) -> dict[ServerId, ServerLoad]:
         """List what this node has in progress on each server."""
         return {
-            server: ServerLoad(belief.leading, round(belief.reserved))
-            for server, belief in self._beliefs.items()
-            if belief.in_progress
+            server: ServerLoad(status.leading, round(status.reserved))
+            for server, status in self._statuses.items()
+            if status.in_progress
         }
 
-    def list_found(self, now: float) -> dict[ServerId, float]:
-        """List the servers that failed for this node, with the time until which it leaves them alone."""
-        return {server: belief.found_until for server, belief in self._beliefs.items() if belief.found_until > now}
+    def list_failed(self, now: float) -> dict[ServerId, float]:
+        """List the servers that are backed off after failures seen by this node, with the end of each backoff."""
+        return {server: status.failed_until for server, status in self._statuses.items() if status.failed_until > now}
 
     def estimate_share(self, nodes: int, now: float) -> float:
-        """Estimate how many times this node's own requests are in progress over all nodes.
+        """Estimate the ratio of the requests in progress from all nodes to those from this node.
 
-        Servers tell the requests that they are the first of; without fresh word, nodes are taken to be alike.
+        It compares the loads that first servers report with this node's own; without a recent report, all nodes are
+        assumed to have the same load.
         """
-        told = own = 0
-        for belief in self._beliefs.values():
-            if belief.leading and now - belief.told_at < TOLD_AGE:
-                told += belief.told_load
-                own += belief.leading
-        if not own:
+        reported_total = own_total = 0
+        for status in self._statuses.values():
+            if status.leading and now - status.reported_at < MAX_LOAD_AGE_S:
+                reported_total += status.reported_load
+                own_total += status.leading
+        if not own_total:
             return float(nodes)
-        return min(max(1.0, told / own), MAX_SHARE * nodes)
+        return min(max(1.0, reported_total / own_total), MAX_LOAD_FACTOR * nodes)
 
     def forget_absent(self, present: Mapping[ServerId, BackendServer]) -> None:
-        """Forget the servers that have left the list, unless requests are still in progress there."""
-        for server in [one for one, belief in self._beliefs.items() if one not in present and not belief.in_progress]:
-            del self._beliefs[server]
+        """Drop the status of servers that have left the list, unless they still have requests in progress."""
+        for server in [
+            known for known, status in self._statuses.items() if known not in present and not status.in_progress
+        ]:
+            del self._statuses[server]
 
-    def _is_out(self, server: ServerId) -> bool:
-        belief = self[server]
-        return belief.is_replaced or belief.is_leaving
+    def _is_excluded(self, server: ServerId) -> bool:
+        status = self[server]
+        return status.is_replaced or status.is_leaving
 
-    def list_choosable(
+    def list_eligible(
         self, servers: Iterable[BackendServer], avoided: Iterable[ServerId], now: float
     ) -> list[BackendServer]:
-        """List the servers that may get new work; if too many of them rest, those that rest as well."""
+        """List the servers that may get new work; if too many are backed off, these are included."""
         excluded = set(avoided)
-        able = [
+        eligible = [
             server
             for server in servers
-            if server.state is ServerState.READY and server.id not in excluded and not self._is_out(server.id)
+            if server.state is ServerState.READY and server.id not in excluded and not self._is_excluded(server.id)
         ]
-        awake = [server for server in able if self[server.id].resting_until <= now]
-        return awake if len(awake) >= MAX_RESTING_SHARE * len(able) else able
+        available = [server for server in eligible if self[server.id].backoff_until <= now]
+        return available if len(available) >= MAX_BACKOFF_SHARE * len(eligible) else eligible
 
 
-__all__ = ["ServerBelief", "ServerBeliefs"]
+__all__ = ["ServerStatus", "ServerStatuses"]
--- a/packages/node/src/vaneturn_node/platform/headers.py
+++ b/packages/node/src/vaneturn_node/platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers of requests and answers on the users' platform."""
+"""Reads and builds the headers of requests and responses on the users' platform."""
 
 from __future__ import annotations
 
@@ -19,79 +19,79 @@
 CUSTOMER: Final = b"x-tenant"
 PRIORITY: Final = b"priority"
 CHAIN: Final = b"path"
-LAST_EVENT: Final = b"last-event-id"
-TOKENS: Final = b"x-token-usage"
-KEY: Final = b"authorization"
+LAST_EVENT_ID: Final = b"last-event-id"
+TOKEN_USAGE: Final = b"x-token-usage"
+AUTHORIZATION: Final = b"authorization"
 KEY_SCHEME: Final = b"Token "
 SEAL: Final = b"x-response-seal"
 NOT_RUN: Final = b"x-not-executed"
 FAULTY_SERVER: Final = b"at-server"
-LOAD: Final = b"x-instance-load"
+SERVER_LOAD: Final = b"x-instance-load"
 WRONG_SERVER: Final = 421
-_OWN_TO_SERVERS: Final = frozenset(
-    {KEY, DEADLINE, EXPECTED_SERVER, CUSTOMER, PRIORITY, CHAIN, LAST_EVENT, b"content-length", b"expect"}
+_REPLACED_HEADERS: Final = frozenset(
+    {AUTHORIZATION, DEADLINE, EXPECTED_SERVER, CUSTOMER, PRIORITY, CHAIN, LAST_EVENT_ID, b"content-length", b"expect"}
 )
 
 
 @dataclass(frozen=True, slots=True)
 class RequestFacts:
-    """What a client says in the head of a request."""
+    """What the headers of a client's request say."""
 
     id: RequestId | None
     host: str
-    deadline: float | None  # seconds that the client waits
+    deadline: float | None  # seconds for which the client waits
     key: str | None
-    last_event: str | None  # id of the last event that the client has
+    last_event_id: str | None  # id of the last event that the client received
     prompt_tokens: int
-    most_answer_tokens: int
+    max_answer_tokens: int
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerFacts:
-    """What a server says in the head of an answer."""
+    """What the headers of a server's response say."""
 
     id: RequestId | None
     status: int
-    was_refused: bool  # the server did not and will not run the request
-    is_wrong_server: bool  # another server has the address, or a part of the chain does not hold its layers
+    was_refused: bool  # the server has not run the request and will not
+    is_wrong_server: bool  # the address belongs to another server, or a part of the chain lacks its layers
     is_sealed: bool
-    faulty: ServerAddress | None  # part of the chain at fault
-    load: tuple[int, int, int] | None  # requests running, waiting, slots
+    faulty: ServerAddress | None  # the part of the chain that failed
+    load: tuple[int, int, int] | None  # running requests, waiting requests, slots
     directives: ServerDirectives
 
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """What the router adds to a request for one server."""
+    """What the router adds to the headers of a request to one server."""
 
     server: ServerName
     deadline: float | None  # seconds left
     customer: str | None
     priority: int
     chain: Chain | None
-    last_event: str | None
+    last_event_id: str | None
 
 
 def read_request_facts(headers: Headers) -> RequestFacts:
-    """Read what a request says of itself; what cannot be read counts as absent."""
+    """Read the headers of a request; invalid values count as absent."""
     request = find_header(headers, REQUEST_ID)
     deadline = _read_number(find_header(headers, DEADLINE))
-    key = find_header(headers, KEY)
-    prompt, answer = _read_pair(find_header(headers, TOKENS))
-    last_event = find_header(headers, LAST_EVENT)
+    key = find_header(headers, AUTHORIZATION)
+    prompt, answer = _read_token_counts(find_header(headers, TOKEN_USAGE))
+    last_event_id = find_header(headers, LAST_EVENT_ID)
     return RequestFacts(
         id=RequestId(request.decode("latin-1")) if request else None,
         host=(find_header(headers, b"host") or b"").decode("latin-1").lower(),
         deadline=None if deadline is None else deadline / 1000,
         key=key[len(KEY_SCHEME) :].decode("latin-1") if key and key.startswith(KEY_SCHEME) else None,
-        last_event=last_event.decode("latin-1") if last_event is not None else None,
+        last_event_id=last_event_id.decode("latin-1") if last_event_id is not None else None,
         prompt_tokens=prompt,
-        most_answer_tokens=answer,
+        max_answer_tokens=answer,
     )
 
 
 def read_answer_facts(status: int, headers: Headers) -> AnswerFacts:
-    """Read what an answer says of itself."""
+    """Read the headers of a response."""
     request = find_header(headers, REQUEST_ID)
     faulty = find_header(headers, FAULTY_SERVER)
     return AnswerFacts(
@@ -101,14 +101,14 @@
         is_wrong_server=status == WRONG_SERVER,
         is_sealed=find_header(headers, SEAL) is not None,
         faulty=ServerAddress(faulty.decode("latin-1")) if faulty else None,
-        load=_read_load(find_header(headers, LOAD)),
+        load=_read_load(find_header(headers, SERVER_LOAD)),
         directives=read_directives(status, headers),
     )
 
 
 def build_server_headers(headers: Headers, dispatch: Dispatch) -> list[tuple[bytes, bytes]]:
-    """Build the head for a server: what the client sent, less what concerns its connection, plus the dispatch."""
-    dropped = _OWN_TO_SERVERS | list_connection_headers(headers)
+    """Build the headers for a server: those of the client, less hop-by-hop and replaced ones, plus the dispatch."""
+    dropped = _REPLACED_HEADERS | list_connection_headers(headers)
     sent = [(name, value) for name, value in headers if name not in dropped]
     sent.append((EXPECTED_SERVER, dispatch.server.encode("latin-1")))
     sent.append((PRIORITY, str(dispatch.priority).encode()))
@@ -118,19 +118,19 @@
         sent.append((CUSTOMER, dispatch.customer.encode("latin-1")))
     if dispatch.chain is not None:
         sent.append((CHAIN, format_chain(dispatch.chain.parts).encode("latin-1")))
-    if dispatch.last_event is not None:
-        sent.append((LAST_EVENT, dispatch.last_event.encode("latin-1")))
+    if dispatch.last_event_id is not None:
+        sent.append((LAST_EVENT_ID, dispatch.last_event_id.encode("latin-1")))
     return sent
 
 
 def build_client_headers(headers: Headers) -> list[tuple[bytes, bytes]]:
-    """Build the head for the client: what the server sent, less what concerns its connection."""
+    """Build the headers for the client: those of the server without the hop-by-hop headers."""
     dropped = list_connection_headers(headers) | {b"content-length"}
     return [(name, value) for name, value in headers if name not in dropped]
 
 
 def format_chain(parts: Sequence[Part]) -> str:
-    """Format a chain as servers with their layers; the second number of a range is exclusive."""
+    """Format a chain as a list of servers with their layer ranges; the end of a range is exclusive."""
     return ",".join(f"{part.server.address}={part.first}-{part.end}" for part in parts)
 
 
@@ -140,7 +140,7 @@
     return float(value)
 
 
-def _read_pair(value: bytes | None) -> tuple[int, int]:
+def _read_token_counts(value: bytes | None) -> tuple[int, int]:
     numbers = (value or b"").split(b",")
     if len(numbers) != 2 or not all(number.strip().isdigit() for number in numbers):  # noqa: PLR2004 # a pair
         return 0, 0
--- a/packages/node/src/vaneturn_node/traffic/process/inspection.py
+++ b/packages/node/src/vaneturn_node/traffic/process/inspection.py
@@ -1,4 +1,4 @@
-"""Answers operators: metrics, the state of the node, and what became of a request."""
+"""Operators' HTTP interface: metrics, the state of the node, and how a request ended."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from vaneturn_node.traffic.following.follower import StoreFollower
 from vaneturn_node.traffic.process.stopping import Lifecycle
 from vaneturn_node.traffic.servers.exchange import TrafficParts
-from vaneturn_node.traffic.serving.endedtraffic import EndedTraffic
 from vaneturn_node.traffic.serving.metrics import TrafficMetrics
+from vaneturn_node.traffic.serving.requesthistory import RequestHistory
 
 REQUESTS_PATH: Final = "/requests/"
 _JSON: Final = [(b"content-type", b"application/json")]
 _TEXT: Final = [(b"content-type", b"text/plain; version=0.0.4")]
 
 
-class Inspection:
-    """The handler of the metrics address."""
+class OperatorHandler:
+    """Handles requests to the metrics address."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         node: NodeId,
         parts: TrafficParts,
         metrics: TrafficMetrics,
-        ended: EndedTraffic,
+        ended: RequestHistory,
         tenure: Tenure,
         follower: StoreFollower,
         lifecycle: Lifecycle,
@@ -46,14 +46,14 @@
         self._tenure = tenure
         self._follower = follower
         self._lifecycle = lifecycle
-        self.in_progress = 0  # requests; kept by the answerer
+        self.in_progress = 0  # requests; set before each request to this handler
 
     async def answer(self, request: ClientRequest, answer: ClientAnswer) -> None:
-        """Answer one operator's request."""
+        """Answer one request of an operator."""
         if request.path == "/metrics":
             await answer.send_whole(200, _TEXT, self._render_metrics())
         elif request.path == "/state":
-            await answer.send_whole(200, _JSON, msgspec.json.encode(self._describe()))
+            await answer.send_whole(200, _JSON, msgspec.json.encode(self._describe_node()))
         elif request.path.startswith(REQUESTS_PATH):
             ended = self._ended.find(RequestId(request.path.removeprefix(REQUESTS_PATH)))
             await answer.send_whole(200 if ended else 404, _JSON, msgspec.json.encode(ended))
@@ -61,29 +61,29 @@
             await answer.send_whole(404, [], b"")
 
     def _render_metrics(self) -> bytes:
-        from vaneturn_node.traffic.process.metricstext import Gauges, render_metrics  # noqa: PLC0415 # see there
+        from vaneturn_node.traffic.process.metricstext import Gauges, render_metrics  # noqa: PLC0415 # the docstring of metricstext.py says why
 
         view = self._parts.view
-        beliefs, now = self._parts.beliefs, read_clock()
+        statuses, now = self._parts.beliefs, read_clock()
         gauges = Gauges(
-            age=view.told_age,
-            ends=len(self._parts.crashes.list_ends()),
+            view_age=view.finite_age,
+            crashes=len(self._parts.crashes.list_crashes()),
             servers=len(view.servers),
             limited=len(self._parts.limits.list_limited()),
-            closed=sum(beliefs[server].is_closed(now) for server in view.servers),
+            closed=sum(statuses[server].is_closed(now) for server in view.servers),
         )
         return render_metrics(self._metrics, gauges)
 
-    def _describe(self) -> TrafficState:
+    def _describe_node(self) -> TrafficState:
         view = self._parts.view
         return TrafficState(
             vm=self._vm,
             node=self._node,
             version=view.configuration.version if view.configuration is not None else None,
-            age=round(view.told_age, 3),
+            age=round(view.finite_age, 3),
             is_ready=not self._lifecycle.is_stopping and view.is_ready(),
             is_stopping=self._lifecycle.is_stopping,
-            has_tenure=self._tenure.is_sure(),
+            has_tenure=self._tenure.is_valid(),
             nodes=sorted(view.nodes),
             relay=self._follower.followed,
             in_progress=self.in_progress,
@@ -91,7 +91,7 @@
         )
 
     def _describe_server(self, server: BackendServer) -> SeenServer:
-        belief = self._parts.beliefs[server.id]
+        status = self._parts.beliefs[server.id]
         now = read_clock()
         return SeenServer(
             id=server.id,
@@ -100,14 +100,14 @@
             data_hall=server.hall,
             state=server.state.value,
             layers=[(layers.first, layers.end) for layers in server.layers],
-            in_progress=belief.in_progress,
-            failures=belief.failures,
-            resting=round(max(0.0, belief.resting_until - now), 3),
-            slowness=belief.read_slowness(now),
+            in_progress=status.in_progress,
+            failures=status.failures,
+            resting=round(max(0.0, status.backoff_until - now), 3),
+            slowness=status.get_slowness(now),
             rate_limit=self._parts.limits.list_limited().get(server.id),
-            asked_rest=round(max(0.0, belief.rest_until - now), 3),
-            is_leaving=belief.is_leaving,
+            asked_rest=round(max(0.0, status.rest_until - now), 3),
+            is_leaving=status.is_leaving,
         )
 
 
-__all__ = ["Inspection"]
+__all__ = ["OperatorHandler"]
--- a/packages/node/src/vaneturn_node/traffic/serving/heads.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/heads.py
@@ -1,4 +1,4 @@
-"""What the head of a server's answer says of a try."""
+"""Handles the head of a server's answer to a try, and the body where it is no success."""
 
 from __future__ import annotations
 
@@ -8,55 +8,55 @@
 from vaneturn_node.http1.link import AnswerHead, HttpLink, LinkError
 from vaneturn_node.platform.headers import read_answer_facts
 from vaneturn_node.traffic.servers.exchange import TrafficParts
-from vaneturn_node.traffic.serving.chainhold import ChainHold
+from vaneturn_node.traffic.serving.chainreservation import ChainReservation
 from vaneturn_node.traffic.serving.outcomes import Answered, MayHaveRun, NotRun, TryOutcome
-from vaneturn_node.traffic.serving.requests import RequestInProgress
+from vaneturn_node.traffic.serving.requests import RequestContext
 
-SUCCESS: Final = range(200, 300)
-REST_TIME: Final = 0.05  # seconds at least for the rest of an answer that is no success
+SUCCESS_STATUSES: Final = range(200, 300)
+MIN_BODY_TIMEOUT_S: Final = 0.05  # for the body of an answer that is no success
 
 
-async def take_head(
-    parts: TrafficParts, work: RequestInProgress, hold: ChainHold, link: HttpLink, head: AnswerHead
+async def handle_head(
+    parts: TrafficParts, context: RequestContext, reservation: ChainReservation, link: HttpLink, head: AnswerHead
 ) -> TryOutcome | None:
-    """Take the head of an answer; gives the end of the try if it is no success.
+    """Handle the head of an answer; return the outcome of the try if it is no success.
 
-    :raises LinkError: the answer is not one to this request, or not the server's.
+    :raises LinkError: the answer is to another request, or not from the server.
     """
     facts = read_answer_facts(head.status, head.headers)
-    belief = parts.beliefs[hold.first.id]
+    server_status = parts.beliefs[reservation.first_server.id]
     now = read_clock()
     if facts.load is not None:
-        belief.take_load(facts.load[0] + facts.load[1], now)
-    if facts.id is not None and facts.id != work.facts.id:
+        server_status.take_load(facts.load[0] + facts.load[1], now)
+    if facts.id is not None and facts.id != context.facts.id:
         raise LinkError("answer to another request", was_sent=True)
     if not facts.is_wrong_server:
-        parts.directives.take(hold.first, facts.directives, hold.sent_at)
-    if head.status not in SUCCESS:
-        return await _take_failure(parts, work, hold, link, head)
+        parts.directives.apply(reservation.first_server, facts.directives, reservation.sent_at)
+    if head.status not in SUCCESS_STATUSES:
+        return await _read_failure(parts, context, reservation, link, head)
     if not facts.is_sealed:
         raise LinkError("unsealed answer", was_sent=True)
-    hold.count_run()
-    belief.record_success(now - hold.taken_at)
+    reservation.count_run()
+    server_status.record_success(now - reservation.reserved_at)
     return None
 
 
-async def _take_failure(
-    parts: TrafficParts, work: RequestInProgress, hold: ChainHold, link: HttpLink, head: AnswerHead
+async def _read_failure(
+    parts: TrafficParts, context: RequestContext, reservation: ChainReservation, link: HttpLink, head: AnswerHead
 ) -> TryOutcome:
-    """Take an answer that is no success."""
+    """Read an answer that is no success; return the outcome of the try."""
     body = []
-    while (data := await link.read_data(max(REST_TIME, work.left))) is not None:
+    while (data := await link.read_data(max(MIN_BODY_TIMEOUT_S, context.time_left))) is not None:
         body.append(data)
     facts = read_answer_facts(head.status, head.headers)
     if facts.was_refused:
-        return NotRun(f"refused with {head.status} at {hold.note_refusal(facts).id}")
-    hold.count_run()
-    work.avoided.add(hold.first.id)
-    parts.beliefs[hold.first.id].record_error(read_clock())
+        return NotRun(f"refused with {head.status} at {reservation.record_refusal(facts).id}")
+    reservation.count_run()
+    context.avoided.add(reservation.first_server.id)
+    parts.beliefs[reservation.first_server.id].record_error(read_clock())
     if facts.is_sealed:
         return Answered(head.status, head.headers, b"".join(body))
     return MayHaveRun(f"unsealed answer {head.status}")
 
 
-__all__ = ["take_head"]
+__all__ = ["handle_head"]
--- a/packages/node/src/vaneturn_node/traffic/sharing/changeclient.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changeclient.py
@@ -1,4 +1,4 @@
-"""Asks relays for changes of the store; what they tell of times is never taken for younger than it is."""
+"""Asks relays for changes of the store; state received from them never counts as more recent than it is."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import msgspec
 
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.loads import LoadBoard, Loads
 from vaneturn_core.traffic.relays import RelayTimes
 from vaneturn_core.traffic.view import PlatformView, StoreContact
@@ -21,20 +21,20 @@
 from vaneturn_node.traffic.sharing.crashsharing import CrashSharing
 from vaneturn_node.traffic.sharing.losssharing import LossSharing
 from vaneturn_node.traffic.sharing.peerwords import (
-    RelayWord,
-    ToldLoads,
+    LoadReport,
+    RelayAnswer,
     decode_reply,
-    send_word,
+    send_message,
     unpack_total,
 )
 from vaneturn_node.traffic.sharing.serverrows import pack_loads
 
-TELL_TIME: Final = 0.5  # seconds for a word on loads; the next one follows
+REPORT_TIMEOUT_S: Final = 0.5  # time until a report of loads times out; the next report replaces a lost one
 
 
 @dataclass(frozen=True, slots=True)
 class RelayedChanges:
-    """What a relay knows after a revision."""
+    """The changes after a revision, as a relay knows them."""
 
     revision: int
     changes: list[Change]
@@ -42,14 +42,14 @@
 
 
 class NoChanges(Enum):
-    """Why a relay told nothing."""
+    """Why a relay sent no changes."""
 
-    OUT_OF_TOUCH = "out of touch"  # it answered that it does not reach the store either
-    NO_ANSWER = "no answer"  # none in time, none that is understood, or it does not keep the changes any more
+    OUT_OF_TOUCH = "out of touch"  # it answered that it cannot reach the store either
+    NO_ANSWER = "no answer"  # timeout, invalid answer, or the relay no longer keeps the changes
 
 
 class ChangeClient:
-    """Asks relays for changes."""
+    """Asks relays for changes and reports loads to them."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         times: RelayTimes,
         vm: VmId,
         view: PlatformView,
-        beliefs: ServerBeliefs,
+        beliefs: ServerStatuses,
         board: LoadBoard,
         losses: LossSharing,
         crashes: CrashSharing,
@@ -75,37 +75,37 @@
         self._times = times
 
     async def ask(self, address: str, since: int) -> RelayedChanges | NoChanges:
-        """Wait for changes after a revision."""
+        """Ask a relay for the changes after a revision, and wait until it has some."""
         started = read_clock()
         loads = self._beliefs.list_loads()
-        body = msgspec.json.encode(self._make_word(loads))
+        body = msgspec.json.encode(self._make_report(loads))
         reply = await self._caller.call(address, "POST", f"{CHANGES_PATH}?since={since}", self._times.ask, body=body)
         if isinstance(reply, Reply) and reply.status == OUT_OF_TOUCH:
             return NoChanges.OUT_OF_TOUCH
-        word = decode_reply(reply, RelayWord)
-        if word is None:
+        answer = decode_reply(reply, RelayAnswer)
+        if answer is None:
             return NoChanges.NO_ANSWER
-        told_at = started + max(0.0, word.held)
+        sent_at = started + max(0.0, answer.held)
         contact = StoreContact(
-            _compute_time(told_at, word.confirmed_age),
-            _compute_time(told_at, word.failed_age),
-            _compute_time(told_at, word.returned_age),
+            _compute_time(sent_at, answer.confirmed_age),
+            _compute_time(sent_at, answer.failed_age),
+            _compute_time(sent_at, answer.returned_age),
         )
         if read_clock() - contact.confirmed_at > self._times.ask:
             return NoChanges.NO_ANSWER
-        total = unpack_total(word.loads, self._view.servers)
+        total = unpack_total(answer.loads, self._view.servers)
         if total is not None:
-            self._board.take_total(total, loads)
-        self._losses.take_confirmed(word.losses, address)
-        self._permits.take_news(word.limits)
-        return RelayedChanges(word.revision, word.changes, contact)
+            self._board.record_total(total, loads)
+        self._losses.take_confirmed(answer.losses, address)
+        self._permits.apply_limits(answer.limits)
+        return RelayedChanges(answer.revision, answer.changes, contact)
 
-    async def tell_loads(self, address: str, loads: Loads) -> None:
-        """Tell another relay what this one and those that ask it have in progress; a lost word is told anew soon."""
-        await send_word(self._caller, address, LOADS_PATH, TELL_TIME, self._make_word(loads))
+    async def report_loads(self, address: str, loads: Loads) -> None:
+        """Report the load of this relay and its followers to another relay; the next report replaces a lost one."""
+        await send_message(self._caller, address, LOADS_PATH, REPORT_TIMEOUT_S, self._make_report(loads))
 
-    def _make_word(self, loads: Loads) -> ToldLoads:
-        return ToldLoads(self._vm, pack_loads(loads), self._crashes.check, self._permits.list_news())
+    def _make_report(self, loads: Loads) -> LoadReport:
+        return LoadReport(self._vm, pack_loads(loads), self._crashes.check, self._permits.list_changed_limits())
 
 
 def _compute_time(now: float, age: float | None) -> float:
--- a/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
@@ -1,7 +1,7 @@
-"""Tells other nodes of changes of the store: a relay answers as soon as it has heard of the store again.
+"""Sends changes of the store to other nodes: a relay answers as soon as the store has responded to it again.
 
-Times travel as ages. The asker counts them from when it began to ask, plus the time that the relay held the question by
-its own clock, so that what is believed is never younger than it is.
+Times are sent as ages. The asking node counts them from the start of its request plus the time for which the relay held
+the request by its own clock, so that state never counts as more recent than it is.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 import anyio
 import msgspec
 
-from vaneturn_core.traffic.beliefs import ServerBeliefs
-from vaneturn_core.traffic.loads import SUM_AGE, LoadBoard
+from vaneturn_core.traffic.beliefs import ServerStatuses
+from vaneturn_core.traffic.loads import MAX_SUM_AGE_S, LoadBoard
 from vaneturn_core.traffic.relays import RelayTimes
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.clock import read_clock
 from vaneturn_node.http1.caller import Arrival
 from vaneturn_node.http1.server import ClientAnswer, ClientRequest
-from vaneturn_node.platform.store import BODY_TIME, SILENCE
+from vaneturn_node.platform.store import BODY_EXTRA_TIME_S, MAX_SILENCE_S
 from vaneturn_node.traffic.servers.permits import PERMITS_PATH, Permits
 from vaneturn_node.traffic.sharing.changelog import ChangeLog
 from vaneturn_node.traffic.sharing.crashsharing import CRASHES_PATH, CrashSharing
@@ -27,15 +27,16 @@
 from vaneturn_node.traffic.sharing.losssharing import LOSSES_PATH, LossSharing
 from vaneturn_node.traffic.sharing.peerwords import (
     OK,
-    RelayWord,
-    decode_told,
+    RelayAnswer,
+    decode_load_report,
 )
 from vaneturn_node.traffic.sharing.serverrows import pack_loads
 
 CHANGES_PATH: Final = "/changes"
 LOADS_PATH: Final = "/loads"
-ARRIVING_TIME: Final = 0.2  # seconds since the last bytes of the store in which its answer counts as arriving; 64 KB
-# take 0.026 s over a link of 20 Mbit/s
+# Seconds since the last bytes from the store for which its answer counts as still arriving;
+# 64 KB take 0.026 s over a 20 Mbit/s link.
+ARRIVING_TIMEOUT_S: Final = 0.2
 _GONE: Final = 410
 OUT_OF_TOUCH: Final = 503
 _JSON: Final = [(b"content-type", b"application/json")]
@@ -50,7 +51,7 @@
         log: ChangeLog,
         view: PlatformView,
         times: RelayTimes,
-        beliefs: ServerBeliefs,
+        beliefs: ServerStatuses,
         board: LoadBoard,
         losses: LossSharing,
         crashes: CrashSharing,
@@ -68,14 +69,14 @@
         self._asked_at = float("-inf")
         self._packed = b""  # the loads of all nodes
         self._packed_at = float("-inf")
-        self.arrival = Arrival(BODY_TIME, SILENCE)  # of the store's answers to this node's watch
+        self.arrival = Arrival(BODY_EXTRA_TIME_S, MAX_SILENCE_S)  # progress of the store's answers to this node's watch
 
-    def is_asked(self) -> bool:
-        """Tell whether nodes ask this one."""
+    def has_followers(self) -> bool:
+        """Check whether other nodes ask this one for changes."""
         return read_clock() - self._asked_at < 2 * self._times.hold
 
     async def answer(self, request: ClientRequest, answer: ClientAnswer) -> None:
-        """Answer with the changes after a revision, or with a long value."""
+        """Handle a request of another node: for changes, a long value or a permit, or with a report."""
         query = parse_qs(request.target.partition("?")[2])
         if request.path == VALUE_PATH:
             await self._long_values.answer(query.get("key", [""])[0], answer)
@@ -89,43 +90,45 @@
             await answer.send_whole(OK, [], b"")
             return
         if request.path == PERMITS_PATH:
-            permit = self._permits.answer(request.body)
+            permit = self._permits.answer_request(request.body)
             await answer.send_whole(OK if permit is not None else 400, _JSON, permit or b"")
             return
-        told = decode_told(request.body, self._view.servers)
-        if told is not None:
-            self._crashes.compare(told.vm, told.crashes)
-            self._permits.take_news(told.limits)
-        if request.path == LOADS_PATH and told is not None:
-            self._board.take_relay(told.vm, told.loads)
+        report = decode_load_report(request.body, self._view.servers)
+        if report is not None:
+            self._crashes.compare(report.vm, report.crashes)
+            self._permits.apply_limits(report.limits)
+        if request.path == LOADS_PATH and report is not None:
+            self._board.record_relay(report.vm, report.loads)
             await answer.send_whole(OK, [], b"")
             return
         since = query.get("since", [""])[0]
         if request.path != CHANGES_PATH or not since.isdigit():
             await answer.send_whole(404, [], b"")
             return
-        if told is not None:
-            self._board.take_follower(told.vm, told.loads)
+        if report is not None:
+            self._board.record_follower(report.vm, report.loads)
         await self._answer_changes(int(since), request.arrived, answer)
 
     async def _answer_changes(self, since: int, arrived: float, answer: ClientAnswer) -> None:
-        """Answer as soon as there are changes, a newer confirmation that there are none, a loss, or trouble."""
+        """Answer once there are changes, a newer confirmation that there are none, a loss, or a store failure."""
         self._asked_at = read_clock()
         losses = self._losses.version
         confirmed_at = self._view.contact.confirmed_at
-        is_heard = await self._hear(since, confirmed_at, losses, self._times.hold)
-        if not is_heard and self._is_arriving():  # the answer of the store is late because it is long
-            is_heard = await self._hear(since, confirmed_at, losses, self._times.hold_arriving - self._times.hold)
+        has_news = await self._wait_for_news(since, confirmed_at, losses, self._times.hold)
+        if not has_news and self._is_arriving():  # the store's answer is late because it is long
+            has_news = await self._wait_for_news(
+                since, confirmed_at, losses, self._times.hold_arriving - self._times.hold
+            )
         changes = self._log.list_since(since)
         if changes is None:
             await answer.send_whole(_GONE, [], b"")
             return
-        if not is_heard or self._is_in_trouble():
+        if not has_news or self._has_store_failed():
             await answer.send_whole(OUT_OF_TOUCH, [], b"")
             return
         now = read_clock()
         contact = self._view.contact
-        word = RelayWord(
+        message = RelayAnswer(
             revision=self._log.revision,
             changes=changes,
             held=now - arrived,
@@ -134,12 +137,12 @@
             returned_age=_compute_age(now, contact.returned_at),
             loads=self._pack_all(now),
             losses=self._losses.pack_confirmed(now),
-            limits=self._permits.list_news(),
+            limits=self._permits.list_changed_limits(),
         )
-        await answer.send_whole(OK, _JSON, msgspec.json.encode(word))
+        await answer.send_whole(OK, _JSON, msgspec.json.encode(message))
 
-    async def _hear(self, since: int, confirmed_at: float, losses: int, limit: float) -> bool:
-        """Wait until there is something to tell; false when there was nothing in time."""
+    async def _wait_for_news(self, since: int, confirmed_at: float, losses: int, limit: float) -> bool:
+        """Wait until there is news to send; return False on timeout."""
         with anyio.move_on_after(limit):
             while self._log.list_since(since) == [] and not self._has_news(confirmed_at, losses):
                 await self._log.wait()
@@ -147,29 +150,29 @@
         return False
 
     def _is_arriving(self) -> bool:
-        return read_clock() - self.arrival.at < ARRIVING_TIME
+        return read_clock() - self.arrival.at < ARRIVING_TIMEOUT_S
 
     def _has_news(self, confirmed_at: float, losses: int) -> bool:
-        """Tell whether there is a newer confirmation, trouble, or a loss beside a word that the asker may still take.
+        """Check for a newer confirmation, a store failure, or a loss while the state is recent enough for the asker.
 
-        A loss told beside a word that was 1.9 s old made 49 nodes leave both relays at once.
+        A loss sent with state that was 1.9 s old, too old to accept, made 49 nodes leave both relays at once.
         """
         contact = self._view.contact
         is_fresh = self._view.age < self._times.hold_arriving
         return (
             contact.confirmed_at != confirmed_at
             or (self._losses.version != losses and is_fresh)
-            or self._is_in_trouble()
+            or self._has_store_failed()
         )
 
     def _pack_all(self, now: float) -> bytes:
-        """Pack the loads of all nodes, once for all that are answered at about the same time."""
-        if now - self._packed_at >= SUM_AGE:
+        """Pack the loads of all nodes; answers sent at about the same time share the result."""
+        if now - self._packed_at >= MAX_SUM_AGE_S:
             self._packed = pack_loads(self._board.sum_all(self._beliefs.list_loads()))
             self._packed_at = now
         return self._packed
 
-    def _is_in_trouble(self) -> bool:
+    def _has_store_failed(self) -> bool:
         return self._view.contact.is_in_trouble
 
 
--- a/packages/node/src/vaneturn_node/traffic/sharing/loadsharing.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/loadsharing.py
@@ -1,4 +1,4 @@
-"""Relays tell each other what they and the nodes that ask them have in progress on each server."""
+"""Relays report the loads of servers by themselves and their followers to each other."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 import anyio
 
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.loads import LoadBoard
 from vaneturn_core.traffic.relays import list_relays
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.traffic.sharing.changeclient import ChangeClient
 
-SHARE_TIME: Final = 0.6  # seconds between two words of a relay; followers tell theirs each 0.8 s
+REPORT_GAP_S: Final = 0.6  # time between two reports of a relay; followers send theirs every 0.8 s
 
 
 class LoadSharing:
-    """One task; it does something on relays only."""
+    """Reports loads to the other relays; does nothing on nodes that are not relays."""
 
     def __init__(
-        self, *, vm: VmId, view: PlatformView, beliefs: ServerBeliefs, board: LoadBoard, peers: ChangeClient
+        self, *, vm: VmId, view: PlatformView, beliefs: ServerStatuses, board: LoadBoard, peers: ChangeClient
     ) -> None:
         self._vm = vm
         self._view = view
@@ -29,9 +29,9 @@
         self._peers = peers
 
     async def run(self) -> None:
-        """Tell the other relays until cancelled."""
+        """Send reports to the other relays until cancelled."""
         while True:
-            await anyio.sleep(SHARE_TIME)
+            await anyio.sleep(REPORT_GAP_S)
             relays = list_relays(self._view.nodes)
             if self._vm not in relays:
                 continue
@@ -40,7 +40,7 @@
                 for relay in relays:
                     address = self._view.nodes[relay]
                     if relay != self._vm and address is not None:
-                        tasks.start_soon(self._peers.tell_loads, address, loads)
+                        tasks.start_soon(self._peers.report_loads, address, loads)
 
 
 __all__ = ["LoadSharing"]
--- a/packages/node/src/vaneturn_node/traffic/sharing/peerwords.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/peerwords.py
@@ -1,4 +1,4 @@
-"""What nodes say to each other along the way of the relays, and how it is read."""
+"""Messages between nodes and relays, and their decoding."""
 
 from __future__ import annotations
 
@@ -14,38 +14,38 @@
 from vaneturn_core.traffic.loads import Loads
 from vaneturn_core.traffic.servers import ServerId
 from vaneturn_node.http1.caller import Caller, Failed, Reply
-from vaneturn_node.traffic.servers.permits import ToldLimit
+from vaneturn_node.traffic.servers.permits import LimitRow
 from vaneturn_node.traffic.sharing.changelog import Change
 from vaneturn_node.traffic.sharing.serverrows import unpack_loads
 
 OK: Final = 200
 
-_Body = TypeVar("_Body")
+_Message = TypeVar("_Message")
 
 logger = logging.getLogger(__name__)
 
 
-class ToldLoads(Struct):
-    """What a node has in progress, or a relay with those that ask it."""
+class LoadReport(Struct):
+    """The load on servers by a node, or by a relay and its followers."""
 
     vm: VmId
     loads: bytes  # packed
-    crashes: int = 0  # checksum of what it knows of servers that ended
-    limits: list[ToldLimit] = []  # rate limits of servers that have changed lately
+    crashes: int = 0  # checksum of the crashes that the node knows of
+    limits: list[LimitRow] = []  # recently changed rate limits of servers
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """What a node has told."""
+class ReceivedReport:
+    """The decoded message of a node."""
 
     vm: VmId
     loads: Loads
     crashes: int
-    limits: list[ToldLimit]
+    limits: list[LimitRow]
 
 
-class RelayWord(Struct):
-    """An answer of a relay; ages in seconds, none for what never was."""
+class RelayAnswer(Struct):
+    """An answer of a relay; ages are in seconds, None for events that never occurred."""
 
     revision: int
     changes: list[Change]
@@ -54,41 +54,45 @@
     failed_age: float | None
     returned_age: float | None
     loads: bytes = b""  # of all nodes, packed
-    losses: bytes = b""  # servers that two nodes or more have found lost, packed
-    limits: list[ToldLimit] = []  # rate limits of servers that have changed lately
+    losses: bytes = b""  # servers that two or more nodes have found lost, packed
+    limits: list[LimitRow] = []  # recently changed rate limits of servers
 
 
-async def send_word(caller: Caller, address: str, path: str, limit: float, word: Struct) -> None:
-    """Send a word to another node; a lost one is made good by later words."""
-    reply = await caller.call(address, "POST", path, limit, body=msgspec.json.encode(word))
+async def send_message(caller: Caller, address: str, path: str, limit: float, message: Struct) -> None:
+    """Send a message to another node; a lost message is not retried, because later ones replace it."""
+    reply = await caller.call(address, "POST", path, limit, body=msgspec.json.encode(message))
     if not isinstance(reply, Reply):
-        logger.debug("word not sent", extra={"node": address, "path": path, "cause": reply.cause})
+        logger.debug("message not sent", extra={"node": address, "path": path, "cause": reply.cause})
 
 
-def decode_reply(reply: Reply | Failed, kind: type[_Body]) -> _Body | None:
-    """Decode what a relay gave; none when it gave nothing that is understood."""
+def decode_reply(reply: Reply | Failed, message_type: type[_Message]) -> _Message | None:
+    """Decode the answer of a relay; None if the call failed or the answer is invalid."""
     if not isinstance(reply, Reply) or reply.status != OK:
         return None
     try:
-        return msgspec.json.decode(reply.body, type=kind)
+        return msgspec.json.decode(reply.body, type=message_type)
     except msgspec.DecodeError as error:
-        logger.warning("answer of a relay not understood", extra={"fault": str(error)})
+        logger.warning("answer from a relay not understood", extra={"fault": str(error)})
         return None
 
 
-def decode_told(body: bytes, known: Iterable[ServerId]) -> Told | None:
-    """Decode who told what; none when nothing was told, or it was not understood."""
+def decode_load_report(body: bytes, known: Iterable[ServerId]) -> ReceivedReport | None:
+    """Decode the message of a node; None if the body is empty or invalid."""
     try:
-        told = msgspec.json.decode(body, type=ToldLoads) if body else None
+        report = msgspec.json.decode(body, type=LoadReport) if body else None
     except msgspec.DecodeError as error:
-        logger.warning("word on loads not understood", extra={"fault": str(error)})
+        logger.warning("report of loads not understood", extra={"fault": str(error)})
         return None
-    loads = unpack_total(told.loads, known) if told is not None else None
-    return Told(told.vm, loads, told.crashes, told.limits) if told is not None and loads is not None else None
+    loads = unpack_total(report.loads, known) if report is not None else None
+    return (
+        ReceivedReport(report.vm, loads, report.crashes, report.limits)
+        if report is not None and loads is not None
+        else None
+    )
 
 
 def unpack_total(data: bytes, known: Iterable[ServerId]) -> Loads | None:
-    """Unpack loads; none when they were not understood."""
+    """Unpack loads; None if they are invalid."""
     try:
         return unpack_loads(data, known)
     except ValueError as error:
@@ -96,4 +100,13 @@
         return None
 
 
-__all__ = ["OK", "RelayWord", "Told", "ToldLoads", "decode_reply", "decode_told", "send_word", "unpack_total"]
+__all__ = [
+    "OK",
+    "LoadReport",
+    "ReceivedReport",
+    "RelayAnswer",
+    "decode_load_report",
+    "decode_reply",
+    "send_message",
+    "unpack_total",
+]
--- a/packages/node/src/vaneturn_node/traffic/sharing/serverrows.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/serverrows.py
@@ -1,6 +1,6 @@
-"""What nodes tell each other of servers: eight bytes for each, a checksum of its id and two figures.
+"""Compact rows about servers in messages between nodes: a checksum of the server's id and two numbers in eight bytes.
 
-An answer to a node on 190 servers takes 2.0 KB in place of 5.5 KB with ids and figures in JSON.
+An answer about 190 servers takes 2.0 KB this way, and 5.5 KB with ids and numbers in JSON.
 """
 
 from __future__ import annotations
@@ -13,58 +13,60 @@
 from vaneturn_core.traffic.losses import Finding, Findings
 from vaneturn_core.traffic.servers import ServerId, ServerLoad
 
-RESERVED_UNIT: Final = 64.0  # tokens times layers; a request takes 9,000 on a server with nine layers
-REST_UNIT: Final = 0.001  # seconds
+RESERVED_UNIT: Final = 64.0  # tokens times layers; a request reserves 9,000 on a server with nine layers
+BACKOFF_UNIT_S: Final = 0.001
 _ROW: Final = struct.Struct(">IHH")
-_MOST: Final = 0xFFFF
+_MAX_NUMBER: Final = 0xFFFF
 
 
 def pack_loads(loads: Mapping[ServerId, ServerLoad]) -> bytes:
-    """Pack loads; figures beyond a row's range count as the largest in it."""
+    """Pack loads; numbers beyond the range of a row are clamped to it."""
     return b"".join(_pack(server, load.leading, load.reserved / RESERVED_UNIT) for server, load in loads.items())
 
 
 def unpack_loads(data: bytes, known: Iterable[ServerId]) -> dict[ServerId, ServerLoad]:
-    """Unpack loads; of servers that are not known here nothing is taken.
+    """Unpack loads; rows of unknown servers are skipped.
 
-    :raises ValueError: the bytes are no rows.
+    :raises ValueError: the length is not a multiple of the row size.
     """
-    return {server: ServerLoad(one, other * RESERVED_UNIT) for server, one, other in _unpack(data, known)}
+    return {server: ServerLoad(first, second * RESERVED_UNIT) for server, first, second in _unpack(data, known)}
 
 
 def pack_findings(findings: Findings, now: float) -> bytes:
-    """Pack the rests of servers that were found lost, as they are left at a steady time."""
+    """Pack the remaining backoff of lost servers, counted from a monotonic time."""
     return b"".join(
-        _pack(server, (finding.latest - now) / REST_UNIT, (finding.second - now) / REST_UNIT)
+        _pack(server, (finding.latest - now) / BACKOFF_UNIT_S, (finding.second - now) / BACKOFF_UNIT_S)
         for server, finding in findings.items()
     )
 
 
 def unpack_findings(data: bytes, known: Iterable[ServerId], now: float) -> dict[ServerId, Finding]:
-    """Unpack rests that begin at a steady time.
+    """Unpack the remaining backoff of lost servers, counted from a monotonic time.
 
-    :raises ValueError: the bytes are no rows.
+    :raises ValueError: the length is not a multiple of the row size.
     """
     return {
-        server: Finding(now + one * REST_UNIT, now + other * REST_UNIT if other else float("-inf"))
-        for server, one, other in _unpack(data, known)
+        server: Finding(now + first * BACKOFF_UNIT_S, now + second * BACKOFF_UNIT_S if second else float("-inf"))
+        for server, first, second in _unpack(data, known)
     }
 
 
-def _pack(server: ServerId, one: float, other: float) -> bytes:
-    return _ROW.pack(_check(server), round(min(_MOST, max(0, one))), round(min(_MOST, max(0, other))))
+def _pack(server: ServerId, first: float, second: float) -> bytes:
+    return _ROW.pack(
+        _compute_checksum(server), round(min(_MAX_NUMBER, max(0, first))), round(min(_MAX_NUMBER, max(0, second)))
+    )
 
 
 def _unpack(data: bytes, known: Iterable[ServerId]) -> Iterator[tuple[ServerId, int, int]]:
     if len(data) % _ROW.size:
-        raise ValueError(f"{len(data)} bytes are no rows of {_ROW.size}")
-    servers = {_check(server): server for server in known}
-    for check, one, other in _ROW.iter_unpack(data):
-        if check in servers:
-            yield servers[check], one, other
+        raise ValueError(f"{len(data)} bytes are not a multiple of the row size {_ROW.size}")
+    servers = {_compute_checksum(server): server for server in known}
+    for checksum, first, second in _ROW.iter_unpack(data):
+        if checksum in servers:
+            yield servers[checksum], first, second
 
 
-def _check(server: ServerId) -> int:
+def _compute_checksum(server: ServerId) -> int:
     return zlib.crc32(server.encode())
 
 
--- a/tests/node/traffic/sharing/test_changes.py
+++ b/tests/node/traffic/sharing/test_changes.py
@@ -1,4 +1,4 @@
-"""Changes from node to node: times are never taken for younger than they are."""
+"""Changes sent from node to node: state never counts as more recent than it is."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from core.traffic.samples import make_server
 from node.traffic.samples import Answer, make_crash_sharing, make_parts, make_sharing
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
-from vaneturn_core.traffic.loads import SUM_AGE, LoadBoard
+from vaneturn_core.traffic.beliefs import ServerStatuses
+from vaneturn_core.traffic.loads import MAX_SUM_AGE_S, LoadBoard
 from vaneturn_core.traffic.relays import RelayTimes
 from vaneturn_core.traffic.servers import ServerId, ServerLoad
 from vaneturn_core.traffic.view import PlatformView
@@ -21,7 +21,7 @@
 from vaneturn_node.http1.pool import LinkPool
 from vaneturn_node.http1.server import ClientRequest
 from vaneturn_node.platform.store import StoreItem
-from vaneturn_node.traffic.servers.permits import ToldLimit
+from vaneturn_node.traffic.servers.permits import LimitRow
 from vaneturn_node.traffic.sharing.changeclient import ChangeClient, NoChanges, RelayedChanges
 from vaneturn_node.traffic.sharing.changelog import ChangeLog
 from vaneturn_node.traffic.sharing.changeserver import CHANGES_PATH, ChangeServer
@@ -35,8 +35,8 @@
 RESERVED = 10 * RESERVED_UNIT  # by each request
 
 
-class Wire(Caller):
-    """Carries a question to a server in this process; the way back takes some seconds."""
+class Transport(Caller):
+    """Delivers a request to a server in this process, and its answer after a delay in seconds."""
 
     def __init__(self, server: ChangeServer, delay: float = 0.0) -> None:
         super().__init__(LinkPool())
@@ -54,7 +54,7 @@
 
 
 class Relay:
-    """A node that has read the store at revision 5."""
+    """A relay that has read the store at revision 5."""
 
     def __init__(self) -> None:
         self.view = PlatformView(5.0, time.monotonic)
@@ -62,7 +62,7 @@
         self.log = ChangeLog()
         self.log.replace([], 5)
         self.view.confirm(time.monotonic())
-        self.beliefs = ServerBeliefs()
+        self.beliefs = ServerStatuses()
         self.board = LoadBoard(time.monotonic)
         self.parts = make_parts("entry-1", self.view, self.beliefs, Caller(LinkPool()))
         self.losses = LossSharing(VmId("entry-1"), self.parts, Caller(LinkPool()), self.log)
@@ -84,7 +84,7 @@
 
 def make_client(caller: Caller, name: str = "entry-2", busy: int = 0) -> tuple[ChangeClient, LoadBoard]:
     """Make the client of a node that leads some requests over the server i-1."""
-    beliefs, board = ServerBeliefs(), LoadBoard(time.monotonic)
+    beliefs, board = ServerStatuses(), LoadBoard(time.monotonic)
     lead(beliefs, busy)
     view = PlatformView(5.0, time.monotonic)
     view.put_server(make_server(1, "a100", "east"))
@@ -103,7 +103,7 @@
     return client, board
 
 
-def lead(beliefs: ServerBeliefs, requests: int) -> None:
+def lead(beliefs: ServerStatuses, requests: int) -> None:
     belief = beliefs[BUSY]
     belief.in_progress = belief.leading = requests
     belief.reserved = RESERVED * requests
@@ -114,40 +114,40 @@
 
 
 async def test_nodes_learn_what_all_others_have_in_progress() -> None:
-    """Each took the others to be like itself: chains of other halls seemed full, and the own ones free."""
+    """If each assumes that the others' load is like its own, chains of other halls seem full and its own ones free."""
     relay, other = Relay(), Relay()
     lead(relay.beliefs, 1)
-    await make_client(Wire(other.server), "entry-4", busy=20)[0].ask("relay", 4)
-    relay.board.take_relay(VmId("entry-9"), other.board.sum_followers({}))
+    await make_client(Transport(other.server), "entry-4", busy=20)[0].ask("relay", 4)
+    relay.board.record_relay(VmId("entry-9"), other.board.sum_followers({}))
     for name, busy in (("entry-2", 3), ("entry-3", 5)):
         relay.hear(StoreItem("servers/i-1", b"entry", 6), revision=6)
-        await anyio.sleep(SUM_AGE)  # one sum serves all that ask at about the same time
-        client, board = make_client(Wire(relay.server), name, busy)
+        await anyio.sleep(MAX_SUM_AGE_S)  # requests at about the same time share one sum
+        client, board = make_client(Transport(relay.server), name, busy)
         assert await client.ask("relay", 5) is not None
-    assert board.find_others(BUSY) == ServerLoad(1 + 3 + 20, 24 * RESERVED)
-    assert relay.board.find_others(BUSY) == ServerLoad(3 + 5 + 20, 28 * RESERVED)
-    assert relay.board.find_others(ServerId("i-2")) == ServerLoad(0, 0.0)
+    assert board.get_others(BUSY) == ServerLoad(1 + 3 + 20, 24 * RESERVED)
+    assert relay.board.get_others(BUSY) == ServerLoad(3 + 5 + 20, 28 * RESERVED)
+    assert relay.board.get_others(ServerId("i-2")) == ServerLoad(0, 0.0)
 
 
 async def test_relays_tell_each_other() -> None:
     relay = Relay()
-    await make_client(Wire(relay.server), "entry-1")[0].tell_loads("relay", {BUSY: ServerLoad(7, 7 * RESERVED)})
-    assert relay.board.find_others(BUSY) == ServerLoad(7, 7 * RESERVED)
+    await make_client(Transport(relay.server), "entry-1")[0].report_loads("relay", {BUSY: ServerLoad(7, 7 * RESERVED)})
+    assert relay.board.get_others(BUSY) == ServerLoad(7, 7 * RESERVED)
 
 
 async def test_rate_limit_that_one_node_was_told_reaches_all_others() -> None:
-    """Each node went on sending as before until an answer named the limit to it."""
+    """Otherwise each node keeps its rate until a server's answer to it contains the limit."""
     relay, other = Relay(), Relay()
-    teller, _ = make_client(Wire(relay.server), "entry-2")
-    teller._permits.take_news([ToldLimit("i-1", 2.5, 0.0), ToldLimit("i-9", 2.5, 0.0), ToldLimit("i-1", -1.0, 0.0)])
+    reporter, _ = make_client(Transport(relay.server), "entry-2")
+    reporter._permits.apply_limits([LimitRow("i-1", 2.5, 0.0), LimitRow("i-9", 2.5, 0.0), LimitRow("i-1", -1.0, 0.0)])
     relay.hear(StoreItem("servers/i-1", b"entry", 6), revision=6)
-    await teller.ask("relay", 5)
-    asker, _ = make_client(Wire(relay.server), "entry-3")
+    await reporter.ask("relay", 5)
+    asker, _ = make_client(Transport(relay.server), "entry-3")
     await asker.ask("relay", 5)
-    assert [(one.server, one.rate) for one in asker._permits.list_news()] == [("i-1", 2.5)]
-    between_relays, _ = make_client(Wire(other.server), "entry-1")
-    between_relays._permits.take_news(relay.parts.permits.list_news())
-    await between_relays.tell_loads("relay", {})
+    assert [(one.server, one.rate) for one in asker._permits.list_changed_limits()] == [("i-1", 2.5)]
+    between_relays, _ = make_client(Transport(other.server), "entry-1")
+    between_relays._permits.apply_limits(relay.parts.permits.list_changed_limits())
+    await between_relays.report_loads("relay", {})
     assert other.parts.limits.list_limited() == {BUSY: 2.5}
 
 
@@ -163,26 +163,26 @@
 async def test_changes_are_told_at_once() -> None:
     relay = Relay()
     relay.hear(StoreItem("servers/i-1", b"entry", 6), revision=6)
-    told = await ask(Wire(relay.server))
-    assert isinstance(told, RelayedChanges)
-    assert told.revision == 6
-    assert [(change.key, change.value) for change in told.changes] == [("servers/i-1", b"entry")]
+    received = await ask(Transport(relay.server))
+    assert isinstance(received, RelayedChanges)
+    assert received.revision == 6
+    assert [(change.key, change.value) for change in received.changes] == [("servers/i-1", b"entry")]
 
 
 async def test_question_waits_for_the_next_word_of_the_store() -> None:
     relay = Relay()
-    told = []
+    received = []
 
     async def wait() -> None:
-        told.append(await ask(Wire(relay.server)))
+        received.append(await ask(Transport(relay.server)))
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(wait)
         await anyio.sleep(0.1)
-        assert not told
+        assert not received
         relay.hear(revision=5)
-    assert isinstance(told[0], RelayedChanges)
-    assert told[0].changes == []
+    assert isinstance(received[0], RelayedChanges)
+    assert received[0].changes == []
 
 
 async def test_time_of_the_word_is_never_taken_for_later_than_it_was() -> None:
@@ -190,23 +190,23 @@
     confirmed_at = relay.view.contact.confirmed_at
     relay.log.append([StoreItem("servers/i-1", b"entry", 6)], 6)
     await anyio.sleep(0.1)
-    told = await ask(Wire(relay.server, delay=0.2))
-    assert isinstance(told, RelayedChanges)
-    assert confirmed_at - 0.05 <= told.contact.confirmed_at <= confirmed_at
+    received = await ask(Transport(relay.server, delay=0.2))
+    assert isinstance(received, RelayedChanges)
+    assert confirmed_at - 0.05 <= received.contact.confirmed_at <= confirmed_at
 
 
 async def test_relay_that_has_long_not_heard_of_the_store_counts_for_nothing() -> None:
     relay = Relay()
     await anyio.sleep(TIMES.ask - TIMES.hold + 0.05)
     with anyio.fail_after(TIMES.hold + 0.5):
-        assert await ask(Wire(relay.server)) is NoChanges.OUT_OF_TOUCH
+        assert await ask(Transport(relay.server)) is NoChanges.OUT_OF_TOUCH
 
 
 async def test_answer_after_the_whole_hold_counts_for_nothing() -> None:
-    """A relay that was cut without a word was left 1.91 s after its last word, of 2 s allowed."""
+    """Else a relay whose link to the store is cut silently is left only after 1.91 s, and 2 s are allowed."""
     relay = Relay()
     with anyio.fail_after(TIMES.hold + 0.1):
-        assert await ask(Wire(relay.server)) is NoChanges.OUT_OF_TOUCH
+        assert await ask(Transport(relay.server)) is NoChanges.OUT_OF_TOUCH
 
 
 async def test_relay_that_cannot_reach_the_store_says_so_at_once() -> None:
@@ -220,17 +220,17 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(fail)
         with anyio.fail_after(0.3):
-            assert await ask(Wire(relay.server)) is NoChanges.OUT_OF_TOUCH
+            assert await ask(Transport(relay.server)) is NoChanges.OUT_OF_TOUCH
 
 
 async def test_troubles_of_the_store_are_told_with_their_times() -> None:
     relay = Relay()
     relay.view.note_failure()
     relay.hear(StoreItem("servers/i-1", None, 6), revision=6)
-    told = await ask(Wire(relay.server))
-    assert isinstance(told, RelayedChanges)
-    assert not told.contact.is_in_trouble
-    assert told.contact.returned_at == pytest.approx(relay.view.contact.returned_at, abs=0.05)
+    received = await ask(Transport(relay.server))
+    assert isinstance(received, RelayedChanges)
+    assert not received.contact.is_in_trouble
+    assert received.contact.returned_at == pytest.approx(relay.view.contact.returned_at, abs=0.05)
 
 
 @pytest.mark.parametrize(
@@ -255,14 +255,14 @@
 
 
 async def test_loss_does_not_bring_a_word_that_is_too_old_for_the_asker() -> None:
-    """The asker left its relay for such a word, and so did all others in the same moment."""
+    """An asker that gets state that is too old leaves its relay, and so do all others at the same moment."""
     relay = Relay()
     relay.view.contact = dataclasses.replace(relay.view.contact, confirmed_at=time.monotonic() - TIMES.ask - 0.1)
-    told: list[RelayedChanges | NoChanges] = []
+    received: list[RelayedChanges | NoChanges] = []
     async with anyio.create_task_group() as tasks:
 
         async def follow() -> None:
-            told.append(await ask(Wire(relay.server)))
+            received.append(await ask(Transport(relay.server)))
 
         tasks.start_soon(follow)
         await anyio.sleep(0.05)
@@ -270,5 +270,5 @@
         relay.log.wake()
         await anyio.sleep(0.05)
         relay.hear(revision=6)
-    assert isinstance(told[0], RelayedChanges)
-    assert told[0].revision == 6
+    assert isinstance(received[0], RelayedChanges)
+    assert received[0].revision == 6
--- a/tests/node/traffic/sharing/test_losssharing.py
+++ b/tests/node/traffic/sharing/test_losssharing.py
@@ -1,4 +1,4 @@
-"""A loss that two nodes have found is known to the others at once, along the way of the relays."""
+"""A loss that two nodes have found reaches the other nodes at once over the relays."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from core.traffic.samples import make_server
 from node.traffic.samples import make_parts
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.beliefs import FIRST_REST, ServerBeliefs
+from vaneturn_core.traffic.beliefs import FIRST_BACKOFF_S, ServerStatuses
 from vaneturn_core.traffic.losses import Finding
 from vaneturn_core.traffic.relays import list_relays, rank_relays
 from vaneturn_core.traffic.servers import ServerId
@@ -19,7 +19,7 @@
 from vaneturn_node.http1.caller import Caller, Failed, Reply
 from vaneturn_node.http1.pool import LinkPool
 from vaneturn_node.traffic.sharing.changelog import ChangeLog
-from vaneturn_node.traffic.sharing.losssharing import GATHER, LOSSES_PATH, LossSharing, LossWord
+from vaneturn_node.traffic.sharing.losssharing import GATHER_TIME_S, LOSSES_PATH, LossReport, LossSharing
 from vaneturn_node.traffic.sharing.serverrows import pack_findings
 
 pytestmark = pytest.mark.anyio
@@ -29,7 +29,7 @@
 
 
 class Fleet(Caller):
-    """Carries words between nodes in this process; the address of a node is its name."""
+    """Delivers messages between nodes in this process; the address of a node is its name."""
 
     def __init__(self) -> None:
         super().__init__(LinkPool())
@@ -49,13 +49,13 @@
         self.view = PlatformView(5.0, time.monotonic)
         self.view.put_server(make_server(1, "a100"))
         self.view.nodes = {node: str(node) for node in NODES}
-        self.beliefs = ServerBeliefs()
+        self.beliefs = ServerStatuses()
         self.parts = make_parts(vm, self.view, self.beliefs, fleet)
         self.sharing = LossSharing(vm, self.parts, fleet, ChangeLog())
         fleet.nodes[vm] = self
 
     def is_resting(self) -> bool:
-        return self.beliefs[LOST].resting_until > time.monotonic()
+        return self.beliefs[LOST].backoff_until > time.monotonic()
 
 
 async def lose_at(fleet: Fleet, finders: list[VmId]) -> None:
@@ -63,8 +63,8 @@
         for node in list(fleet.nodes.values()):
             tasks.start_soon(node.sharing.run)
         for vm in finders:
-            fleet.nodes[vm].parts.note_lost(LOST)
-        await anyio.sleep(4 * GATHER)
+            fleet.nodes[vm].parts.record_loss(LOST)
+        await anyio.sleep(4 * GATHER_TIME_S)
         tasks.cancel_scope.cancel()
 
 
@@ -98,33 +98,33 @@
     relay, follower = Node(NODES[0], fleet), Node(NODES[1], fleet)
     now = time.monotonic()
     for vm in ("entry-7", "entry-8"):
-        body = msgspec.json.encode(LossWord(VmId(vm), pack_findings({LOST: Finding(now + 1.4)}, now)))
+        body = msgspec.json.encode(LossReport(VmId(vm), pack_findings({LOST: Finding(now + 1.4)}, now)))
         relay.sharing.take(body)
     follower.sharing.take_confirmed(relay.sharing.pack_confirmed(time.monotonic()), "relay")
     assert follower.is_resting()
-    assert follower.beliefs.list_found(now) == {}
+    assert follower.beliefs.list_failed(now) == {}
 
 
 async def test_one_silence_seen_by_many_requests_is_one_failure() -> None:
-    """Each stream over a server looked for itself: five of them made 8 s of rest out of one silence of 0.1 s."""
+    """Each stream on a server checks for itself; five must not turn one silence of 0.1 s into 8 s of backoff."""
     node = Node(NODES[0], Fleet())
     for _ in range(5):
-        node.parts.note_lost(LOST)
-    assert node.beliefs[LOST].resting_until <= time.monotonic() + FIRST_REST
+        node.parts.record_loss(LOST)
+    assert node.beliefs[LOST].backoff_until <= time.monotonic() + FIRST_BACKOFF_S
 
 
 async def test_server_that_has_worked_since_it_was_found_lost_gets_work_again() -> None:
     node = Node(NODES[0], Fleet())
     servers = [make_server(number, "a100") for number in range(1, 5)]
     for _ in range(3):
-        node.parts.note_lost(LOST)
+        node.parts.record_loss(LOST)
         await anyio.sleep(0.01)
     node.beliefs[LOST].record_token(time.monotonic())
-    assert servers[0] in node.beliefs.list_choosable(servers, [], time.monotonic())
+    assert servers[0] in node.beliefs.list_eligible(servers, [], time.monotonic())
 
 
 async def test_node_that_hears_of_a_server_again_takes_its_word_back() -> None:
-    """Two nodes were deaf for a moment; what they told of it kept all others from a sound server for up to 8 s."""
+    """Reports of two nodes that briefly received nothing must not keep others off a healthy server for up to 8 s."""
     fleet = Fleet()
     one, other = list_relays(NODES)
     finders = [list_followers(one)[0], list_followers(other)[0]]
@@ -134,7 +134,7 @@
     assert fleet.nodes[one].is_resting()
     for vm in finders:
         fleet.nodes[vm].beliefs[LOST].record_token(time.monotonic())
-        fleet.nodes[vm].parts.loss_found.give()
+        fleet.nodes[vm].parts.loss_found.notify()
     await lose_at(fleet, [])
     confirmed = [node.parts.losses.list_confirmed({}) for node in fleet.nodes.values()]
     assert not any(confirmed)
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -21,15 +21,21 @@
         (
             Edit(
                 f"{TRAFFIC}/serving/streamtry.py",
-                "if not await self._parts.permits.obtain(self._first.id):",
-                "if self._first.id is None:",
+                "if not await self._parts.permits.obtain(self._first_server.id):",
+                "if self._first_server.id is None:",
             ),
         ),
     ),
     Proof(
         "a server that asked for rest gets no request",
         f"{SYSTEM}/test_directives.py::test_server_that_asked_for_rest_gets_no_more_requests",
-        (Edit(f"{CORE}/beliefs.py", "return self.is_leaving or now < self.rest_until or is_tried", "return False"),),
+        (
+            Edit(
+                f"{CORE}/beliefs.py",
+                "return self.is_leaving or now < self.rest_until or is_trial_pending",
+                "return False",
+            ),
+        ),
     ),
     Proof(
         "a server that says it leaves gets no request",
@@ -50,7 +56,7 @@
     Proof(
         "a server is tried by one request at a time after its rest",
         "tests/core/traffic/test_servers.py::test_server_is_tried_by_one_request_at_a_time_after_its_rest",
-        (Edit(f"{CORE}/beliefs.py", "is_tried = self.is_returning and", "is_tried = False and"),),
+        (Edit(f"{CORE}/beliefs.py", "is_trial_pending = self.is_returning and", "is_trial_pending = False and"),),
     ),
     Proof(
         "nodes without a permit return one after the other",
@@ -60,7 +66,7 @@
     Proof(
         "nodes tell each other of rate limits",
         "tests/node/traffic/sharing/test_changes.py::test_rate_limit_that_one_node_was_told_reaches_all_others",
-        (Edit(f"{TRAFFIC}/sharing/changeserver.py", "            limits=self._permits.list_news(),\n", ""),),
+        (Edit(f"{TRAFFIC}/sharing/changeserver.py", "            limits=self._permits.list_changed_limits(),\n", ""),),
     ),
     Proof(
         "a node that has just become the issuer issues a small share",
@@ -70,7 +76,7 @@
     Proof(
         "an older answer does not raise a limit",
         "tests/core/traffic/test_ratelimits.py::test_answer_to_an_older_request_neither_raises_nor_ends_a_limit",
-        (Edit(f"{CORE}/ratelimits.py", "if is_lower or sent_at > known.at:", "if known:"),),
+        (Edit(f"{CORE}/ratelimits.py", "if is_limit_lower or sent_at > known.at:", "if known:"),),
     ),
     Proof(
         "entries that lapsed in an outage are held",
@@ -102,7 +108,9 @@
                 "        return not readable.poll(0)\n",
                 "        return True\n",
             ),
-            Edit(f"{TRAFFIC}/serving/plain.py", "if facts.id is not None and facts.id != work.facts.id:", "if False:"),
+            Edit(
+                f"{TRAFFIC}/serving/plain.py", "if facts.id is not None and facts.id != context.facts.id:", "if False:"
+            ),
         ),
     ),
     Proof(
@@ -117,7 +125,7 @@
             Edit(
                 f"{TRAFFIC}/serving/clientstream.py",
                 "        events = splitter.split(data)\n",
-                "        events = splitter.split(data)\n        await self._answer.send_part(splitter.rest)\n",
+                "        events = splitter.split(data)\n        await self._answer.send_part(splitter.remainder)\n",
             ),
         ),
     ),
@@ -138,7 +146,7 @@
         (
             Edit(
                 f"{TRAFFIC}/serving/repair.py",
-                "            await self._replace(losses.parts)\n",
+                "            await self._replace_parts(losses.parts)\n",
                 "            return\n",
             ),
         ),
@@ -148,7 +156,7 @@
         f"{SYSTEM}/test_streams.py::test_part_that_was_refused_is_left_alone_by_the_next_requests",
         (
             Edit(
-                f"{TRAFFIC}/serving/chainhold.py",
+                f"{TRAFFIC}/serving/chainreservation.py",
                 "        elif facts.faulty is not None:",
                 "        elif facts is None:",
             ),
@@ -160,8 +168,8 @@
         (
             Edit(
                 f"{TRAFFIC}/serving/streamtry.py",
-                '            work.note_wait(f"{cause}; waits")\n            return\n',
-                "            raise TryOverError(MayHaveRun(cause))\n",
+                '            context.add_wait_step(f"{cause}; waits")\n            return\n',
+                "            raise TryEndedError(MayHaveRun(cause))\n",
             ),
         ),
     ),
@@ -171,7 +179,7 @@
         (
             Edit(
                 f"{TRAFFIC}/servers/exchange.py",
-                "if len(engines) <= 1 or self.hearing.has_heard_since(since):",
+                "if len(engines) <= 1 or self.hearing.has_reached_others_since(since):",
                 "if engines is not None:",
             ),
         ),
@@ -182,15 +190,15 @@
         (
             Edit(
                 f"{TRAFFIC}/servers/reports.py",
-                "if known is not None and isinstance(known.report, ServerReport) and known.asked_at > now - age:",
-                "if known is not None and known.report is not None and known.asked_at > now - age:",
+                "if known is not None and isinstance(known.report, ServerReport) and known.sent_at > now - max_age:",
+                "if known is not None and known.report is not None and known.sent_at > now - max_age:",
             ),
         ),
     ),
     Proof(
         "an order is void after another one",
         f"{SYSTEM}/test_placing.py::test_late_order_changes_nothing_after_a_newer_one",
-        (Edit(f"{PLATFORM}/servers.py", '            "expected_rev": orders,\n', ""),),
+        (Edit(f"{PLATFORM}/servers.py", '            "expected_rev": orders_begun,\n', ""),),
     ),
     Proof(
         "a holder whose lease may be over orders nothing",
@@ -198,7 +206,7 @@
         (
             Edit(
                 f"{TRAFFIC}/duties/tenure.py",
-                "return self._is_holder() and read_clock() < self._sure_until - MARGIN",
+                "return self._is_holder() and read_clock() < self._valid_until - ORDER_MARGIN_S",
                 "return self._is_holder()",
             ),
         ),
@@ -206,7 +214,11 @@
     Proof(
         "a planned stop cuts no stream",
         f"{SYSTEM}/test_stopping.py::test_stream_under_way_is_answered_in_full",
-        (Edit(f"{TRAFFIC}/process/stopping.py", "return passed >= UNREADY_TIME and not in_progress", "return True"),),
+        (
+            Edit(
+                f"{TRAFFIC}/process/stopping.py", "return elapsed >= UNREADY_TIME_S and not in_progress", "return True"
+            ),
+        ),
     ),
     Proof(
         "a silent relay is left in time",
@@ -217,14 +229,14 @@
         "a relay that the store turns away is left in time",
         f"{SYSTEM}/test_relays.py::test_relay_that_the_store_turns_away_is_left",
         (
-            Edit(f"{TRAFFIC}/sharing/changeserver.py", "not is_heard or self._is_in_trouble()", "False"),
+            Edit(f"{TRAFFIC}/sharing/changeserver.py", "not has_news or self._has_store_failed()", "False"),
             Edit(f"{TRAFFIC}/sharing/changeclient.py", "confirmed_at > self._times.ask", "confirmed_at > 8.0"),
         ),
     ),
     Proof(
         "a relay is kept while the store's answer is arriving there",
         f"{SYSTEM}/test_relays.py::test_relay_is_kept_while_a_long_value_arrives_there",
-        (Edit(f"{TRAFFIC}/sharing/changeserver.py", "if not is_heard and self._is_arriving():", "if False:"),),
+        (Edit(f"{TRAFFIC}/sharing/changeserver.py", "if not has_news and self._is_arriving():", "if False:"),),
     ),
     Proof(
         "a relay gives long values to who cannot read them",
@@ -253,7 +265,7 @@
     Proof(
         "a relay does not fill its own link with long values",
         "tests/node/traffic/sharing/test_longvalues.py::test_relay_gives_values_one_after_the_other_and_refuses_who_would_wait_too_long",
-        (Edit(f"{TRAFFIC}/sharing/longvalues.py", "await anyio.sleep(turn - now)", "await anyio.sleep(0)"),),
+        (Edit(f"{TRAFFIC}/sharing/longvalues.py", "await anyio.sleep(turn_at - now)", "await anyio.sleep(0)"),),
     ),
     Proof(
         "ages of relays are counted on the asker's clock",
@@ -261,8 +273,8 @@
         (
             Edit(
                 f"{TRAFFIC}/sharing/changeclient.py",
-                "told_at = started + max(0.0, word.held)",
-                "told_at = read_clock() + max(0.0, word.held) - max(0.0, word.held)",
+                "sent_at = started + max(0.0, answer.held)",
+                "sent_at = read_clock() + max(0.0, answer.held) - max(0.0, answer.held)",
             ),
         ),
     ),
@@ -271,26 +283,26 @@
         "tests/core/traffic/test_fleetload.py::test_requests_stay_with_few_first_servers_of_the_hall",
         (
             Edit(f"{CORE}/chains.py", "pick_firsts(self._node, self._hall, left)", "list(left)"),
-            Edit(f"{CORE}/chains.py", "return ways[:CANDIDATES]", "return ways"),
+            Edit(f"{CORE}/chains.py", "return paths[:MAX_CANDIDATES]", "return paths"),
         ),
     ),
     Proof(
         "only as many requests cross halls as the pipes carry",
         "tests/core/traffic/test_chains.py::test_chain_over_halls_is_for_as_many_requests_as_the_pipes_carry",
-        (Edit(f"{CORE}/chains.py", "if self._may_cross(over_halls):", "if over_halls is not None:"),),
+        (Edit(f"{CORE}/chains.py", "if self._may_cross(across_halls):", "if across_halls is not None:"),),
     ),
     Proof(
         "a loss that two nodes have found is told to all",
         "tests/node/traffic/sharing/test_losssharing.py::test_loss_found_behind_two_relays_is_known_to_all_relays",
         (
             Edit(f"{TRAFFIC}/sharing/losssharing.py", "if taken:", "if False:"),
-            Edit(f"{CORE}/beliefs.py", "self.told_until = until\n", "pass\n"),
+            Edit(f"{CORE}/beliefs.py", "self.reported_until = until\n", "pass\n"),
         ),
     ),
     Proof(
         "candidates for the tenure come in turn",
         "tests/node/traffic/duties/test_candidacy.py::test_few_nodes_ask_the_store_when_the_tenure_is_free",
-        (Edit(f"{TRAFFIC}/duties/tenure.py", "await anyio.sleep(rank * TURN)", "await anyio.sleep(0)"),),
+        (Edit(f"{TRAFFIC}/duties/tenure.py", "await anyio.sleep(rank * RANK_DELAY_S)", "await anyio.sleep(0)"),),
     ),
     Proof(
         "a forgotten history is told as differences",
@@ -303,8 +315,8 @@
         (
             Edit(
                 f"{TRAFFIC}/serving/requests.py",
-                "return self.has_key() and not self.is_barred",
-                "return self.has_key()",
+                "return self.is_key_valid() and not self.is_barred",
+                "return self.is_key_valid()",
             ),
         ),
     ),
@@ -329,7 +341,11 @@
     Proof(
         "a copy that has had events goes on when its content is barred",
         f"{SYSTEM}/test_deadly.py::test_copy_that_has_had_events_goes_on",
-        (Edit(f"{TRAFFIC}/serving/answering.py", "if work.sends and not work.events and", "if work.sends and"),),
+        (
+            Edit(
+                f"{TRAFFIC}/serving/answering.py", "if context.sends and not context.events and", "if context.sends and"
+            ),
+        ),
     ),
     Proof(
         "an answer begins with its first event",
@@ -365,7 +381,7 @@
     Proof(
         "a silence is borne for what the caller leaves",
         "tests/core/traffic/test_patience.py::test_streams_over_a_lost_server_go_on_in_time[1]",
-        (Edit(f"{CORE}/patience.py", "if objective is None or explained is None:", "if True:"),),
+        (Edit(f"{CORE}/patience.py", "if objective is None or normal_pause is None:", "if True:"),),
     ),
     Proof(
         "a look ends beside the answers of most others",
@@ -378,8 +394,8 @@
         (
             Edit(
                 f"{TRAFFIC}/servers/lossfinding.py",
-                "return self._silences > 0 or self._has_spared",
-                "return self._silences > 0",
+                "return self._unanswered > 0 or self._has_skipped",
+                "return self._unanswered > 0",
             ),
         ),
     ),
@@ -391,7 +407,7 @@
     Proof(
         "a store that is away for all is left to the relays",
         "tests/node/traffic/following/test_follower.py::test_node_leaves_a_store_that_is_away_to_its_relays",
-        (Edit(f"{TRAFFIC}/following/follower.py", "if read_clock() < self._direct_from:", "if False:"),),
+        (Edit(f"{TRAFFIC}/following/follower.py", "if read_clock() < self._direct_calls_from:", "if False:"),),
     ),
     Proof(
         "a request that has arrived with the signal is read",
@@ -406,7 +422,7 @@
     Proof(
         "values are read for as long as they arrive",
         f"{SYSTEM}/test_catchup.py::test_node_reads_the_longest_value_over_the_slowest_link",
-        (Edit(f"{PLATFORM}/store.py", "Arrival(math.inf, SILENCE)", "Arrival(0.0, SILENCE)"),),
+        (Edit(f"{PLATFORM}/store.py", "Arrival(math.inf, MAX_SILENCE_S)", "Arrival(0.0, MAX_SILENCE_S)"),),
     ),
     Proof(
         "the next nodes stand in for relays that were left",
