--- a/tests/core/traffic/test_view.py
+++ b/tests/core/traffic/test_view.py
@@ -132,7 +132,8 @@
     """This node's last failed call ends a second after a relay has reached the store again; it then asks the relay.
 
     Without a call of its own, it took the outage to continue: entries that were removed 1.8 and 3.2 s later counted as
-    lapsed on five nodes of eight, and a server got work 2.06 s after it had left, where 2.0 s are allowed.
+    lapsed on five nodes of eight and as removed on the others, and a server got work 2.06 s after it had left, where
+    2.0 s are allowed.
     """
     clock = Clock()
     view = PlatformView(5.0, clock)
--- a/tests/system/platform/test_catchup.py
+++ b/tests/system/platform/test_catchup.py
@@ -3,9 +3,10 @@
 The store answers its watch with every version since the revision that the node knows. Twelve versions of 626,500 bytes
 take 6 s over a 10 Mbit/s link. If the watch times out 1.1 s after its wait although bytes are arriving, the node
 repeats the same, ever larger request ("answer not whole in time, 3063808 bytes of it came"), and its API keys stay too
-old. So when the watch times out while its answer is arriving, the node reads the latest values instead, as it does at
-its start. Reads last as long as bytes arrive: the longest value that the store takes needs 1.1 s over such a link, more
-than a fixed timeout of 1.0 s.
+old. The log then showed "store lost" with that cause and age 8.978, and no "store regained" after it. So when the watch
+times out while its answer is arriving, the node reads the latest values instead, as it does at its start. Reads last as
+long as bytes arrive: the longest value that the store takes needs 1.1 s over such a link, more than a fixed timeout of
+1.0 s.
 """
 
 from __future__ import annotations
--- a/tests/system/platform/test_stopping.py
+++ b/tests/system/platform/test_stopping.py
@@ -80,8 +80,9 @@
     sees it end without a response, and the node logs nothing of the request. So each connection is read once more. The
     test freezes the node until both request and signal have arrived; 2 of 3 runs fail without that read.
 
-    Not this fault: a stream that is cut at the end of its deadline ("time is up") after servers stopped responding for
-    over a second, as on a machine with ten busy processes. That is allowed.
+    Not this fault: a stream that is cut at the end of its deadline after servers stopped responding for over a second,
+    as on a machine with ten busy processes, where the node logs "broken off, 6 events" and "4971ms time is up". That is
+    allowed.
     """
     await traffic.add_chains()
     await traffic.add_desk()
