--- a/tests/rig/ablation.py
+++ b/tests/rig/ablation.py
@@ -1,7 +1,7 @@
-"""Mechanisms to measure the traffic with and without: each edit takes one out of a copy of the sources.
+"""Mechanisms whose effect on the traffic is measured with and without them; edits remove one from the sources.
 
-A mechanism that keeps a promise stands in ``mechanisms.py`` with its test; here stand those that earn their place by
-what they measure. ``python -m rig.ablation NAME FOLDER`` takes one out of the checkout in a folder.
+Mechanisms that ensure a guarantee are listed in ``mechanisms.py`` with their tests; the ones here are justified by
+measurements. ``python -m rig.ablation NAME FOLDER`` removes one from the checkout in a folder.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Mechanism:
-    """What can be taken out, and what it is against."""
+    """A mechanism that can be removed, and the problem that it prevents."""
 
     name: str
     purpose: str
@@ -36,7 +36,7 @@
     ),
     Mechanism(
         "random-firsts",
-        "requests of many nodes that all choose the same chain by old word",
+        "requests of many nodes that all choose the same chain by outdated reports",
         (
             Edit(f"{CORE}/chains.py", "pick_firsts(self._node, self._hall, left)", "list(left)"),
             Edit(f"{CORE}/chains.py", "return paths[:MAX_CANDIDATES]", "return paths"),
@@ -44,7 +44,7 @@
     ),
     Mechanism(
         "growth-by-load",
-        "steps that slow down with the requests there",
+        "steps that slow down with the load of the server",
         (Edit(f"{CORE}/chains.py", "GROWTH_WEIGHT: Final = 2.0", "GROWTH_WEIGHT: Final = 0.0"),),
     ),
     Mechanism(
@@ -65,7 +65,7 @@
     ),
     Mechanism(
         "short-rest-of-full",
-        "long rest of a server that only lacks room",
+        "long backoff of a server that only lacks capacity",
         (Edit(f"{CORE}/beliefs.py", "if now - self.token_at > ALIVE_AGE_S and", "if now > float('-inf') and"),),
     ),
     Mechanism(
@@ -100,7 +100,7 @@
     ),
     Mechanism(
         "retry-shares",
-        "more second sends than the users allow",
+        "more retries than the users allow",
         (Edit(f"{CORE}/retries.py", "if len(self._seconds) + 1 > self.compute_limit():", "if self._ratio < 0:"),),
     ),
     Mechanism(
@@ -154,7 +154,7 @@
 
 
 def main() -> int:
-    """Take a mechanism out of a checkout; without words, list them."""
+    """Remove a mechanism from a checkout; without arguments, list all mechanisms."""
     if len(sys.argv) != 3:
         for mechanism in MECHANISMS:
             print(f"{mechanism.name:20} {mechanism.purpose}")
--- a/tests/rig/checks.py
+++ b/tests/rig/checks.py
@@ -1,4 +1,4 @@
-"""What the journals of the engines must show after a run."""
+"""Checks the journals of the engines after a run."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 def find_faults(journals: Journals, layers: int) -> list[str]:
-    """List what contradicts that each layer ran once, in order, for each position of each session.
+    """List violations of the rule that each layer runs once, in order, for each position of each session.
 
-    A stage that ran a position and died before its reply was used is replaced, and the position runs again elsewhere;
-    the first run has no effect on any answer. So a second run counts as a fault on the same server only.
+    A stage that crashes after it ran a position but before its reply was used is replaced, and the position runs again
+    on another server. The first run has no effect on any answer, so a second run is a fault on the same server only.
     """
     faults: list[str] = []
     covered: defaultdict[tuple[str, int], Counter[int]] = defaultdict(Counter)
-    newest: dict[str, int] = {}  # where the newest step of each session starts; it may have been cut
+    newest: dict[str, int] = {}  # position at which the latest step of each session starts; that step may be incomplete
     for server, entries in journals.items():
         next_position: dict[str, int] = {}
         for entry in entries:
@@ -57,7 +57,7 @@
 def _check_cover(
     covered: Mapping[tuple[str, int], Counter[int]], newest: Mapping[str, int], layers: int
 ) -> Iterable[str]:
-    """Positions before a session's newest step must have run through every layer."""
+    """Check that positions before the latest step of a session ran through every layer."""
     for (session, position), counted in covered.items():
         if position < newest[session] and set(counted) != set(range(layers)):
             yield f"{session}: position {position} ran on layers {sorted(counted)} only"
--- a/tests/rig/deadlymodel.py
+++ b/tests/rig/deadlymodel.py
@@ -1,8 +1,8 @@
-"""A model of requests that end servers among many streams: the product's boards on many nodes in simulated time.
+"""A simulation of requests that crash servers among many streams, with the CrashBoard of vaneturn_core on each node.
 
-Servers lead streams, read prompts one after another and end under a deadly request soon after it began to run. Streams
-of a server that ended go on at another one; clients whose answer was broken off come back once. The figures are those
-of the model, good for comparing decisions on the same load, not for promising counts.
+Servers lead streams, read prompts one after another and crash soon after a deadly request began to run. Streams of a
+crashed server resume on another one; the client of a deadly request that was cut sends it once more. The figures
+allow comparing decisions under the same load; they don't predict the counts of a real fleet.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
 from vaneturn_core.traffic.crashes import STARTING_TIME_S, CrashBoard, Suspicion
 from vaneturn_core.traffic.servers import ServerId
 
-STREAM_TIME = 3.3  # seconds of an answer, mean
-FIRST_TIME = (0.03, 0.15)  # seconds from a send to the first event
-ENDS_AFTER = 0.1  # seconds that a deadly request runs before its server ends
-READ_TIME = 0.006  # seconds of a prompt; streams that move together are read one after another
-BACK_TIME = 5.0  # seconds from the end of a server until it holds its layers again
-WORD_TIME = 0.04  # seconds from what one node sees to all others, over two relays
-RETURN_TIME = 0.1  # seconds until a client comes back
-MOST_MOVES = 3  # of one try
+STREAM_TIME = 3.3  # mean duration of an answer in seconds
+FIRST_TIME = (0.03, 0.15)  # seconds from a send to the first event; range
+ENDS_AFTER = 0.1  # seconds that a deadly request runs before it crashes its server
+READ_TIME = 0.006  # seconds to read a prompt; prompts of streams that move at the same time are read in sequence
+BACK_TIME = 5.0  # seconds from the crash of a server until it holds its layers again
+WORD_TIME = 0.04  # seconds until the report of one node has reached all others, over two relays
+RETURN_TIME = 0.1  # seconds until a client sends its request again
+MOST_MOVES = 3  # number of times that one try may move to another server
 
 
 @dataclass
 class Harm:
-    """What deadly requests did."""
+    """Effects of the deadly requests in a run."""
 
-    ended: list[float] = field(default_factory=list)  # times at which servers ended
+    ended: list[float] = field(default_factory=list)  # times at which servers crashed
     sends: list[float] = field(default_factory=list)  # times at which deadly requests were sent to servers
-    barred: int = 0  # honest requests that were refused for good
-    broken: int = 0  # streams that servers took along, and that found no other one
-    all_barring: float | None = None  # when every node had barred the first deadly content
+    barred: int = 0  # harmless requests that were barred
+    broken: int = 0  # harmless streams that lost their server and found no other one
+    all_barring: float | None = None  # time from which on every node barred the deadly content
 
     def count_late_sends(self, grace: float) -> int:
-        """Count the sends later than some seconds after the third server had ended."""
+        """Count the deadly requests that were sent more than `grace` seconds after the third crash."""
         if len(self.ended) < 3:
             return 0
         return sum(at > self.ended[2] + grace for at in self.sends)
@@ -54,26 +54,26 @@
     is_sound: bool = False
     heard_at: float = float("inf")
     server: int | None = None
-    run: int = 0  # rises with each server, so that what was planned on an earlier one is void
+    run: int = 0  # incremented with each server, so that events planned for an earlier server are ignored
 
 
 class DeadlyModel:
-    """One run."""
+    """One run of the simulation."""
 
     def __init__(self, *, nodes: int, servers: int, rate: float, deadly_rate: float, bars: bool, seed: int = 1) -> None:
-        """Prepare.
+        """Set up a run.
 
-        :param servers: that can lead a stream.
-        :param rate: honest streams a second; a tenth of them asks for one of a few things.
-        :param deadly_rate: copies of one deadly request a second.
-        :param bars: whether the boards decide; without, all goes on as if nothing was remembered.
+        :param servers: number of servers that can lead a stream.
+        :param rate: harmless streams per second; a tenth of them have one of a few popular contents.
+        :param deadly_rate: copies of one deadly request per second.
+        :param bars: whether nodes bar requests; otherwise they ignore and don't report the crashes they recorded.
         """
         self.random = random.Random(seed)
         self.now = 0.0
         self.harm = Harm()
         self._bars = bars
         self._rates = rate, deadly_rate
-        self._streams: list[dict[_Try, None]] = [{} for _ in range(servers)]  # in their order
+        self._streams: list[dict[_Try, None]] = [{} for _ in range(servers)]  # by server; dicts keep their order
         self._starts = [0] * servers
         self._back_at = [0.0] * servers
         self._read_until = [0.0] * servers
@@ -88,7 +88,7 @@
         self._schedule(2.0, self._arrive_deadly)
 
     def run(self, seconds: float) -> Harm:
-        """Play some seconds of traffic."""
+        """Simulate some seconds of traffic."""
         while self._events and self._events[0][0] <= seconds:
             self.now, _, action = heapq.heappop(self._events)
             action()
@@ -132,7 +132,7 @@
         self._plan(one, first + self.random.expovariate(1 / STREAM_TIME), lambda: self._finish(one))
 
     def _plan(self, one: _Try, delay: float, action: Callable[[], None]) -> None:
-        """Plan what happens to a try, unless it has gone to another server by then."""
+        """Schedule an action for a try; it is skipped if the try has left its server by then."""
         run = one.run
         self._schedule(delay, lambda: action() if one.run == run and one.server is not None else None)
 
@@ -178,7 +178,7 @@
             self.harm.broken += not one.is_deadly
 
     def _tell(self, node: int) -> None:
-        """Bring what a node knows to all others."""
+        """Report the crashes known to a node to all others."""
         if self._bars and not self._is_telling[node]:
             self._is_telling[node] = True
             self._schedule(WORD_TIME, lambda: self._join(node))
--- a/tests/rig/deadlysoak.py
+++ b/tests/rig/deadlysoak.py
@@ -1,4 +1,4 @@
-"""The randomised run with requests that end servers, and servers that start again under their names."""
+"""The randomised run with requests that crash servers, and with servers that restart under the same name."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from rig.trafficsoak import CONTACT_TIME, TrafficSoak, main
 
 DEADLY = b"a letter that ends servers"
-MOST_SENDS = 3  # later than the contact time after a request has ended three servers
+MOST_SENDS = 3  # allowed later than the contact time after a request has crashed three servers
 
 
 class DeadlySoak(TrafficSoak):
-    """The same clients and faults, and a client with a deadly request."""
+    """Adds a client that sends a deadly request, and restarts of servers, to the clients and faults of TrafficSoak."""
 
     def list_faults(self) -> list[Callable[[random.Random], Awaitable[None]]]:
         self.traffic.fleet.crash_body = DEADLY
@@ -25,7 +25,7 @@
         return [*super().list_faults(), self._send_deadly, self._start_again]
 
     async def _send_deadly(self, rng: random.Random) -> None:
-        """Send the request, and again where it was broken off, as clients do."""
+        """Send the deadly request, and retry it if it was cut or refused, as clients do."""
         await anyio.sleep(rng.uniform(1.0, 4.0))
         self.findings.counts["fault: deadly request"] += 1
         for _ in range(2):
@@ -39,7 +39,7 @@
                 break
 
     async def _start_again(self, rng: random.Random) -> None:
-        """Let a server end by itself and start again under its name."""
+        """Crash a server and restart it under the same name."""
         await anyio.sleep(rng.uniform(4.0, 9.0))
         fleet = self.traffic.fleet
         server = self._pick_server(rng)
@@ -64,7 +64,7 @@
         late = [run for run in fleet.runs if run.body == DEADLY and run.started > since]
         calm = [run for run in late if not self._was_troubled(run.started)]
         if len(calm) > MOST_SENDS:
-            self.findings.faults.append(f"{len(calm)} sends of a deadly request late after its third end")
+            self.findings.faults.append(f"{len(calm)} sends of a deadly request late after its third crash")
 
 
 if __name__ == "__main__":
--- a/tests/rig/demo.py
+++ b/tests/rig/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: both users' shapes over two nodes, one answer through three stages and one plain call."""
+"""Demonstration of both kinds of use on two nodes: one answer through three stages and one plain call."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def declare_users(installation: Installation) -> Path:
-    """Declare Swanreach and VINN: a pipeline and a plain service each."""
+    """Declare the pipelines of Swanreach and VINN and a second customer; return the path of the file."""
     declared = installation.declared
     swanreach = declared["pipelines"][0]
     vinn = {**swanreach, "name": "vaneturn-llm", "preference": "recovery"}
@@ -42,7 +42,7 @@
 
 
 def stream_answer(installation: Installation) -> tuple[str, str]:
-    """Print the answer as it comes; give it back with its route."""
+    """Print the answer as it arrives; return it with its route."""
     body = make_chat(PROMPT, stream=True)
     url = installation.url("entry-1") + CHAT_PATH
     text = ""
--- a/tests/rig/directivejudge.py
+++ b/tests/rig/directivejudge.py
@@ -1,4 +1,4 @@
-"""Judges from what servers saw whether the nodes kept to what the servers had asked of them."""
+"""Judges from the requests that servers received whether the nodes followed the directives of the servers."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 from standins.platform.directives import Arrival, Directive, DirectiveRecord
 
-CONTACT_TIME = 3.0  # seconds from the first naming of a limit until it binds
-TOLD_TIME = 0.5  # seconds after which a node that was told is bound
-WINDOW = 4.0  # seconds
-EXCESS, SLACK = 1.5, 5  # of what a limit allows in the window, and requests on top
+CONTACT_TIME = 3.0  # seconds from the first announcement of a limit until all nodes must keep it
+TOLD_TIME = 0.5  # seconds from a directive to a node until this node must follow it
+WINDOW = 4.0  # seconds; requests are counted against a limit over this time
+EXCESS, SLACK = 1.5, 5  # factor on what a limit allows in the window, and requests allowed in addition
 REST_SLACK = 2  # requests that may come during a rest
-DRAIN_TIME = 2.0  # seconds from the word that a server leaves to its last new request
+DRAIN_TIME = 2.0  # seconds from the announcement that a server leaves to its last new request
 
-IsExcused = Callable[[str, float, float], bool]  # node, from, to
+IsExcused = Callable[[str, float, float], bool]  # node, start, end
 
 
 def never(_node: str, _start: float, _end: float) -> bool:
@@ -22,7 +22,7 @@
 
 
 def find_breaches(record: DirectiveRecord, is_excused: IsExcused = never) -> list[str]:
-    """Find where limits, rests and leavings were not kept."""
+    """List violations of rate limits, rests and announcements of leaving servers."""
     return [
         *_find_rate_breaches(record, is_excused),
         *_find_rest_breaches(record, is_excused),
@@ -52,7 +52,7 @@
         most = max((_count(counted, at - WINDOW, at) for at in counted if start <= at <= end), default=0)
         if most > allowed:
             breaches.append(
-                f"{server} named {limit} a second and got {most} requests in {WINDOW:.0f} s, {allowed:.0f} allowed"
+                f"{server} asked for {limit} a second and got {most} requests in {WINDOW:.0f} s, {allowed:.0f} allowed"
             )
     return breaches
 
@@ -75,7 +75,7 @@
         if one.is_leaving:
             first.setdefault((one.server, one.node), one)
     return [
-        f"{one.server} told {one.node} that it leaves and got a request {at - one.at:.2f} s later"
+        f"{one.server} announced to {one.node} that it leaves and got a new request {at - one.at:.2f} s later"
         for one in first.values()
         for at in _list_from(record.arrivals, one)
         if at > one.at + DRAIN_TIME and not is_excused(one.node, one.at, at)
--- a/tests/rig/fleetmodel.py
+++ b/tests/rig/fleetmodel.py
@@ -1,8 +1,8 @@
-"""A model of many nodes that choose chains for streams over one fleet: the product's decisions in simulated time.
+"""A simulation of many nodes that choose chains for streams on one fleet, with the decisions of vaneturn_core.
 
-Nodes learn what the others have in progress as late as on a real fleet. Servers read prompts one after another, refuse
-what they have no room for, and take longer for a token the more requests they have. The figures are those of the model,
-good for comparing two decisions on the same load, not for promising times.
+Nodes learn with the same delay as on a real fleet what the others have in progress. Servers read prompts one after
+another, refuse requests that exceed their capacity, and take longer for a token the more requests they have. The
+figures allow comparing two decisions under the same load; they don't predict the latency of a real fleet.
 """
 
 from __future__ import annotations
@@ -25,31 +25,31 @@
 from vaneturn_core.traffic.retries import WindowedRetryBudget
 from vaneturn_core.traffic.servers import BackendServer, ServerId, ServerLoad
 
-TELL_INTERVAL = 1.0  # seconds between two words of a relay to a node
-WORD_LAG = 0.8  # seconds from the counting of a load to its arrival at a node, over two relays
-TELL_TIME = 0.1  # seconds from a finding to the relay, and from there to the other nodes
-RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW = 0.2, 574.0, 10.0  # second sends; seconds
+TELL_INTERVAL = 1.0  # seconds between two reports of a relay to a node
+WORD_LAG = 0.8  # seconds from the measurement of a load until a node receives it, over two relays
+TELL_TIME = 0.1  # seconds that a detected loss takes to the relay, and again from there to the other nodes
+RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW = 0.2, 574.0, 10.0  # ratio and slack of retries; window in seconds
 MAX_TRIES = 3
 EVENT_TOKENS = 6
-LATE_FIRST = 0.6  # seconds to the first event
-LATE_PAUSE = 0.3  # seconds between events
+LATE_FIRST = 0.6  # seconds; a stream whose first event takes longer counts as late
+LATE_PAUSE = 0.3  # seconds; a stream with longer pauses between events counts as late
 READ_RATE = 128_000.0  # prompt tokens a second through all layers, times the factor below
-READ_FACTOR = 0.6  # of a kind's step factor: how much slower it reads than the fastest kind
-KEPT_TIME = 6.0  # seconds for which a connection may still be open
-QUEUE_WAIT = 0.4  # seconds that a request waits at least for a place at a first server without one
+READ_FACTOR = 0.6  # times the step factor of a server kind: how much slower it reads than the fastest kind
+KEPT_TIME = 6.0  # seconds since the last stream; an idle connection may be open for so long
+QUEUE_WAIT = 0.4  # seconds that a request waits at least when its first server has no free slot
 
 
 @dataclass
 class Figures:
-    """What became of the streams."""
+    """Counts of the outcomes of streams."""
 
     asked: int = 0
     late: int = 0
     refused: int = 0
-    refusals: int = 0  # by servers, those of requests that were served in the end among them
+    refusals: int = 0  # by servers; includes refusals of requests that another server accepted
     begun: Counter[ServerId] = field(default_factory=Counter)  # streams by first server
-    outside: int = 0  # streams over another hall than the node's
-    returns: int = 0  # streams over a first server that the node used a moment ago
+    outside: int = 0  # streams whose first server is in another hall than the node
+    returns: int = 0  # streams whose first server the node used within KEPT_TIME
 
     @property
     def late_share(self) -> float:
@@ -60,7 +60,7 @@
         return self.refused / max(1, self.asked)
 
     def compute_peak(self, firsts: Iterable[BackendServer]) -> float:
-        """Compute the streams of the busiest first server over the mean of all that hold the first layer."""
+        """Return the ratio of the streams of the busiest first server to the mean over all given first servers."""
         counts = [self.begun[server.id] for server in firsts]
         return max(counts) / (sum(counts) / len(counts))
 
@@ -72,7 +72,7 @@
     beliefs: ServerStatuses
     board: LoadBoard
     budget: WindowedRetryBudget
-    used: dict[ServerId, float] = field(default_factory=dict)  # when the newest stream began there
+    used: dict[ServerId, float] = field(default_factory=dict)  # when the node last began a stream on each first server
 
 
 @dataclass
@@ -83,7 +83,7 @@
 
 
 class FleetModel:
-    """One run."""
+    """One run of the simulation."""
 
     def __init__(
         self,
@@ -96,11 +96,11 @@
         tells_loads: bool = True,
         tells_losses: bool = True,
     ) -> None:
-        """Prepare.
+        """Set up a run.
 
-        :param rate: streams a second over all nodes; nodes get unequal shares.
-        :param tells_loads: whether nodes hear of the requests of the others.
-        :param tells_losses: whether nodes hear which servers others have found lost.
+        :param rate: streams per second over all nodes; nodes get unequal shares.
+        :param tells_loads: whether nodes learn the loads that other nodes cause.
+        :param tells_losses: whether nodes learn which servers other nodes have found lost.
         """
         self.random = random.Random(seed)
         self.now = 0.0
@@ -154,7 +154,7 @@
         heapq.heappush(self._events, (self.now + delay, next(self._order), action))
 
     def _count_loads(self, node: _Node) -> None:
-        """Count the loads of all nodes, and bring them to a node when they are old."""
+        """Sum up the loads of all nodes, and report them to a node with a delay."""
         total = {server: ServerLoad(work.leading, work.taken) for server, work in self._work.items() if work.taken > 0}
         own = node.beliefs.list_loads()
         self._schedule(WORD_LAG, lambda: node.board.record_total(total, own))
@@ -204,7 +204,7 @@
         self.figures.refused += 1
 
     def _tell_losses(self, node: _Node) -> None:
-        """Bring what a node has found to the relays, and what two nodes have found to all."""
+        """Report the losses found by a node to the relays, and the losses confirmed by two nodes to all nodes."""
         before = self._losses.version
         found = node.beliefs.list_failed(self.now)
         self._losses.record_follower(node.vm, {server: Finding(until) for server, until in found.items()}, {})
@@ -220,7 +220,7 @@
         self._schedule(TELL_TIME, adopt)
 
     def _refuses(self, part: Part, tokens: float) -> bool:
-        """Tell whether a server is lost, or has no room."""
+        """Return whether a server is lost, or lacks capacity for a request."""
         taken = self._work[part.server.id].taken + tokens * (part.end - part.first)
         return part.server.id in self._lost or taken > part.server.compute_room(self._engine)
 
@@ -242,7 +242,7 @@
         node.used[first.id] = self.now
 
     def _read_prompt(self, chain: Chain, prompt: float) -> float:
-        """Read a prompt on one server after the other; gives when it is read."""
+        """Read a prompt on all servers of a chain in turn; return the time at which it has been read."""
         at = self.now
         for part in chain.parts:
             work = self._work[part.server.id]
--- a/tests/rig/installation.py
+++ b/tests/rig/installation.py
@@ -1,4 +1,4 @@
-"""A whole installation on loopback: platform, backend servers and nodes."""
+"""A complete installation on the loopback interface: platform, backend servers and nodes."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Stream:
-    """A streamed answer, read in parts."""
+    """A streamed answer that is read in parts and may be resumed."""
 
     def __init__(self, response: httpx.Response, resumed: Stream | None = None) -> None:
         self.response = response
@@ -47,11 +47,11 @@
 
     @property
     def route(self) -> list[str]:
-        """The servers of the route that the answer started on."""
+        """The servers of the route on which the answer started."""
         return [hop.partition("[")[0] for hop in self.response.headers["Vaneturn-Route"].split()]
 
     def read(self, events: int | None = None) -> str:
-        """Read so many events, or all that remain, and give the whole text so far."""
+        """Read a number of events (all remaining ones by default), and return the complete text so far."""
         taken = 0
         while events is None or taken < events:
             line = next(self._lines, None)
@@ -63,7 +63,7 @@
                 continue
             taken += 1
             self._take(line.removeprefix("data: "))
-            self.newest_id = self._coming_id  # as in the standard: an id counts once its event is whole
+            self.newest_id = self._coming_id  # as in the SSE standard: an id counts once its event is complete
         return self.text
 
     def _take(self, data: str) -> None:
@@ -78,14 +78,14 @@
 
 
 class Installation:
-    """Processes by name; a test changes the declared configuration and applies it."""
+    """Processes by name, and the declared configuration, which a test changes and applies."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.processes: dict[str, Process] = {}
         self.ports: dict[str, int] = {}
         self.nodes: list[str] = []
-        self._starting: list[str] = []  # probes of processes that may not answer yet
+        self._starting: list[str] = []  # probe URLs of processes that may not answer yet
         self.client = httpx.Client(timeout=TIMEOUT)
         self.declared: dict[str, Any] = {
             "classes": [{"name": "portal", "priority": 0}, {"name": "batch", "priority": 5}],
@@ -97,7 +97,7 @@
 
     def __enter__(self) -> Self:
         if threading.current_thread() is threading.main_thread():
-            signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))  # so that __exit__ ends what was started
+            signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))  # so that __exit__ runs and ends the processes
         return self
 
     def __exit__(
@@ -132,7 +132,7 @@
         self.declared["loads_at_once"] = loads_at_once
 
     def start_ordered_engine(self, name: str, first: int, end: int, *arguments: str, checks_fence: bool = True) -> None:
-        """Start an engine that begins empty, has memory for just its range, and holds what it is ordered."""
+        """Start an engine without layers, with memory for its range only; it loads the layers it is ordered to hold."""
         options = ["--weight-store", self.url("weights"), "--memory-layers", str(end - first), *arguments]
         self.start_engine(name, first, end, *options, *([] if checks_fence else ["--no-fence"]))
         self.declared["pipelines"][0]["layer_bytes"] = 1
@@ -185,7 +185,7 @@
         self._starting.append(self.url(name) + "/healthz")
 
     def start_cuttable_node(self, name: str, **settings: object) -> None:
-        """Start a node whose way to the key-value service alone can be cut."""
+        """Start a node whose path to the key-value service can be cut."""
         path = f"{name}-path"
         relayed = self.ports.setdefault(f"{path}-relayed", find_port())
         options = ["--relay-port", str(relayed), "--target-port", str(self.ports["kv"])]
@@ -236,7 +236,7 @@
         return state
 
     def apply_everywhere(self) -> None:
-        """Apply, and wait until the change is in force and every link is connected on every node."""
+        """Apply the configuration, then wait until it is in force and all links are connected on every node."""
         self.wait_started()
         response = self.apply()
         assert response.status_code == httpx.codes.OK, response.text
@@ -264,7 +264,7 @@
     def stream(
         self, text: str, node: str | None = None, resume: Stream | None = None, **fields: object
     ) -> Iterator[Stream]:
-        """Open a streamed answer that the test reads piece by piece, or go on with one that was cut."""
+        """Open a streamed answer that the test reads in parts, or resume one that was cut."""
         url = self.url(node or self.nodes[0]) + CHAT_PATH
         body = make_chat(text, stream=True, **fields)
         others = {"Last-Event-ID": resume.newest_id} if resume else {}
@@ -290,7 +290,7 @@
 
 
 def expect_answer(text: str, seed: int = 7, max_tokens: int = 24, version: str = "1") -> list[Sampled]:
-    """Give the answer that a correct run of the whole model gives."""
+    """Generate the answer that a correct run of the whole model gives."""
     prompt = encode_prompt(render_prompt([ChatMessage("user", text)]))
     return generate(Weights("ledger", version, None), LAYERS, prompt, seed, max_tokens)
 
--- a/tests/rig/measuring.py
+++ b/tests/rig/measuring.py
@@ -1,4 +1,4 @@
-"""Processor time, memory and counters of a process under measurement."""
+"""Reads processor time, memory and metrics of a process, and evaluates measurements."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def read_memory(pid: int) -> float:
-    """Read the resident megabytes of a process."""
+    """Read the resident memory of a process in megabytes."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * _PAGE / 1e6
 
 
@@ -29,7 +29,7 @@
 
 
 def fit_line(points: list[tuple[float, float]]) -> tuple[float, float, float]:
-    """Fit y = a + b x by least squares: a, b and the largest relative error over the points."""
+    """Fit y = a + b x by least squares; return a, b and the largest relative error over the points."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
@@ -41,7 +41,7 @@
 
 
 def take_quantile(values: list[float], share: float) -> float:
-    """Take the value below which the share of the values lies."""
+    """Return the quantile of the values, for example the median for a share of 0.5."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
--- a/tests/rig/mechanisms.py
+++ b/tests/rig/mechanisms.py
@@ -1,4 +1,4 @@
-"""The mechanisms that guard promises, each with the test that must fail without it."""
+"""The mechanisms that ensure guarantees, each with the test that must fail without it."""
 
 from __future__ import annotations
 
--- a/tests/rig/ports.py
+++ b/tests/rig/ports.py
@@ -1,4 +1,4 @@
-"""Ports for tests: a block for each process that asks, so that processes side by side never pick the same one."""
+"""Ports for tests: each process reserves its own block, so that concurrent processes never use the same port."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from pathlib import Path
 
 FIRST = 10_000
-LAST = 32_000  # the system gives ports above to outgoing connections, which could take them meanwhile
+LAST = 32_000  # the system uses higher ports for outgoing connections, which could take a port before the test binds it
 BLOCK = 500
 
-_LOCKS: list[object] = []  # held for the life of this process
+_LOCKS: list[object] = []  # open lock files; closing one would release its block
 
 
 @cache
 def take_block() -> Iterator[int]:
-    """Take a block for the life of this process and go round its ports."""
+    """Reserve a block until this process ends; return an endless iterator over its ports."""
     blocks = list(range(FIRST, LAST, BLOCK))
     random.shuffle(blocks)
     for block in blocks:
@@ -31,7 +31,7 @@
             _LOCKS.append(lock)
             return itertools.cycle(range(block, block + BLOCK))
         lock.close()
-    raise RuntimeError("every block of ports is taken")
+    raise RuntimeError("all blocks of ports are reserved by other processes")
 
 
 def find_port() -> int:
@@ -41,7 +41,7 @@
             stream.bind(("127.0.0.1", port))
             datagrams.bind(("127.0.0.1", port))
             return port
-    raise RuntimeError("every port of the block is taken")
+    raise RuntimeError("all ports of the reserved block are in use")
 
 
 __all__ = ["find_port"]
--- a/tests/rig/processes.py
+++ b/tests/rig/processes.py
@@ -1,4 +1,4 @@
-"""Processes started by a rig, each ended by its own id."""
+"""Starts processes for tests and ends each one by its own process id."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     until = time.monotonic() + timeout
     while not condition():
         if time.monotonic() > until:
-            raise TimeoutError("the awaited condition did not come about")
+            raise TimeoutError("the condition did not become true in time")
         time.sleep(interval)
 
 
@@ -32,7 +32,7 @@
 
 
 class Process:
-    """One process with its output in a file."""
+    """One Python module that runs as a process, with its output in a file."""
 
     def __init__(self, module: str, arguments: Sequence[str], output: Path) -> None:
         environment = {
@@ -49,10 +49,10 @@
         self.popen.send_signal(number)
 
     def read_run_delay(self) -> float:
-        """Read the seconds that the process has waited for a processor, as the machine's scheduler counts them."""
+        """Read from the scheduler for how many seconds the process has waited for a processor."""
         try:
             return int(Path(f"/proc/{self.popen.pid}/schedstat").read_text().split()[1]) / 1e9
-        except (OSError, IndexError):  # it has ended, or this machine does not count them
+        except (OSError, IndexError):  # the process has ended, or the kernel does not count them
             return 0.0
 
     def kill(self) -> None:
--- a/tests/rig/proof.py
+++ b/tests/rig/proof.py
@@ -1,4 +1,4 @@
-"""A mechanism that guards a promise, and the test that must fail without it."""
+"""A mechanism that ensures a guarantee, and the test that must fail without it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class Edit:
-    """A piece of a file and what stands there without the mechanism."""
+    """A piece of a source file, and its replacement that removes the mechanism."""
 
     file: str
     old: str
@@ -26,13 +26,13 @@
 
 
 def apply_edits(name: str, edits: Iterable[Edit], packages: Path) -> None:
-    """Edit the sources in a folder.
+    """Apply edits to the sources in a folder.
 
-    :raises LookupError: the sources do not hold what an edit replaces.
+    :raises LookupError: the sources do not contain the text that an edit replaces.
     """
     for edit in edits:
         path = packages / edit.file
         text = path.read_text()
         if edit.old not in text:
-            raise LookupError(f"{name}: {edit.file} does not hold {edit.old!r} any more")
+            raise LookupError(f"{name}: {edit.file} no longer contains {edit.old!r}")
         path.write_text(text.replace(edit.old, edit.new))
--- a/tests/rig/proofs.py
+++ b/tests/rig/proofs.py
@@ -1,4 +1,4 @@
-"""Shows that each proof fails without its mechanism: takes the mechanism out of a copy and runs the proof on it."""
+"""Checks that the test of each proof fails once its mechanism is removed from a copy of the sources."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def run_test(test: str, packages: Path) -> subprocess.CompletedProcess[str]:
-    """Run one test over the sources in a folder."""
+    """Run one test on the sources in a folder."""
     path = os.pathsep.join(str(packages / name / "src") for name in PACKAGES)
     command = [sys.executable, "-m", "pytest", "-q", "-x", "-p", "no:cacheprovider", test]
     environment = {**os.environ, "PYTHONPATH": path}
@@ -27,7 +27,7 @@
 
 
 def take_out(proof: Proof, folder: Path) -> Path:
-    """Copy the packages and take the mechanism out of the copy."""
+    """Copy the packages and remove the mechanism from the copy."""
     packages = folder / "packages"
     shutil.copytree(ROOT / "packages", packages)
     apply_edits(proof.name, proof.edits, packages)
@@ -39,7 +39,7 @@
 
 
 def check_proof(proof: Proof) -> bool:
-    """Run a proof without and with its mechanism and print both closing lines."""
+    """Run the test of a proof without and with its mechanism, and print the last line of both outputs."""
     with tempfile.TemporaryDirectory() as folder:
         without = run_test(proof.test, take_out(proof, Path(folder)))
     present = run_test(proof.test, ROOT / "packages")
--- a/tests/rig/soak.py
+++ b/tests/rig/soak.py
@@ -1,4 +1,4 @@
-"""A randomised run of real processes under failures; the journals of the stand-ins decide."""
+"""A randomised run of real processes under failures, checked against the journals of the stand-ins."""
 
 from __future__ import annotations
 
@@ -25,22 +25,22 @@
 RANGES = ((0, 4), (4, 8), (8, LAYERS))
 CALLERS = 6
 MAX_TOKENS = 120
-MAX_CONNECTIONS = 200  # of one answer
+MAX_CONNECTIONS = 200  # for one answer
 CUT = (httpx.TransportError, httpx.StreamError)
 
 
 @dataclass
 class Findings:
-    """What callers and operators saw."""
+    """Counts and faults seen by callers and operators."""
 
     counts: Counter[str] = field(default_factory=Counter)
     faults: list[str] = field(default_factory=list)
-    refused_keys: set[str] = field(default_factory=set)  # every try of them was told that it was not run
-    run_keys: set[str] = field(default_factory=set)  # a try of them was told anything else
+    refused_keys: set[str] = field(default_factory=set)  # at least one try was answered with "not run"
+    run_keys: set[str] = field(default_factory=set)  # at least one try had another outcome
 
 
 class Soak:
-    """Callers, failures and operators over one installation."""
+    """Callers, failures and operators that work on one installation at the same time."""
 
     def __init__(self, installation: Installation, seconds: float, seed: int) -> None:
         self.installation = installation
@@ -48,7 +48,7 @@
         self.seed = seed
         self.findings = Findings()
         self.revisions: defaultdict[str, int] = defaultdict(int)
-        self._lock = threading.Lock()  # processes are stopped and started by one thread at a time
+        self._lock = threading.Lock()  # only one thread at a time stops and starts processes
 
     def start(self) -> None:
         installation = self.installation
@@ -78,7 +78,7 @@
         while time.monotonic() < self.until:
             try:
                 step(rng)
-            except Exception as error:  # noqa: BLE001 # any surprise is a finding
+            except Exception as error:  # noqa: BLE001 # any unexpected exception is a fault
                 self.findings.faults.append(f"{step.__name__}: {error!r}")
                 return
 
@@ -92,7 +92,7 @@
             self._judge_answer(stream, expect_text(text, max_tokens=max_tokens))
 
     def _follow_answer(self, rng: random.Random, body: dict[str, Any]) -> Stream | None:
-        """Follow an answer over as many nodes as it takes; none when it was refused before its first token."""
+        """Read an answer, resuming it on other nodes when cut; None if it was refused or cut before its first token."""
         stream: Stream | None = None
         for _ in range(MAX_CONNECTIONS):
             node = rng.choice(self.installation.nodes)
@@ -118,11 +118,11 @@
 
     def _judge_answer(self, stream: Stream, expected: str) -> None:
         if not expected.startswith(stream.text):
-            self.findings.faults.append(f"wrong answer: {stream.text!r} in place of {expected!r}")
+            self.findings.faults.append(f"wrong answer: {stream.text!r}, expected {expected!r}")
         if stream.is_whole and stream.text != expected:
-            self.findings.faults.append("an answer that was not whole was marked as whole")
+            self.findings.faults.append("an incomplete answer was marked as complete")
         if not stream.is_whole:
-            self.findings.faults.append(f"dropped in the middle: {stream.error}")
+            self.findings.faults.append(f"answer ended early: {stream.error}")
         self.findings.counts["chat: whole, resumed" if stream.resumes else "chat: whole"] += 1
 
     def post(self, rng: random.Random) -> None:
@@ -182,7 +182,7 @@
             process.send(signal.SIGTERM if kind == "stop" else signal.SIGKILL)
         status = process.popen.wait(timeout=120)
         if kind == "stop" and status != 0:
-            self.findings.faults.append(f"{name} ended with {status} at a planned stop")
+            self.findings.faults.append(f"{name} exited with status {status} at a planned stop")
         with self._lock:
             self.installation.start_node(name)
             self.installation.wait_started()
@@ -222,7 +222,7 @@
         self.findings.counts[f"change: {response.json()['result']}"] += 1
 
     def watch(self, _rng: random.Random) -> None:
-        """No process ever goes back to an older revision."""
+        """Check that no process goes back to an older revision."""
         time.sleep(0.1)
         for node in self.installation.nodes:
             try:
@@ -233,10 +233,10 @@
                 self.findings.faults.append(f"{node} went back to revision {state['revision']}")
             self.revisions[state["node"]] = state["revision"]
 
-    # the verdict
+    # checks after the run
 
     def judge(self) -> list[str]:
-        """Bring the installation to rest and list every broken promise."""
+        """Clear the faults of the store, and list all faults found during the run and in the journals."""
         installation = self.installation
         installation.set_faults("kv")
         engines = [name for name in installation.processes if name.startswith("runner")]
@@ -247,7 +247,7 @@
         calls = Counter(entry["key"] for entry in desks if entry["method"] == "POST")
         faults += [f"{key} ran {count} times" for key, count in calls.items() if count > 1]
         never_run = self.findings.refused_keys - self.findings.run_keys
-        faults += [f"{key} was refused as not run, yet it ran" for key in never_run if key in calls]
+        faults += [f"{key} was refused as not run, but it ran" for key in never_run if key in calls]
         return faults
 
     def _judge_convergence(self) -> list[str]:
--- a/tests/rig/soakclients.py
+++ b/tests/rig/soakclients.py
@@ -1,4 +1,4 @@
-"""Clients of a randomised run, and what they and the servers saw."""
+"""Clients of a randomised run, and what the run found."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 NODES = 5
 TOKENS = 30
-KEYS_TIME = 5.0  # seconds from the removal of a key to its last request
-DRAIN_TIME = 2.0  # seconds from the word that a server leaves to its last new work
-SLACK = 0.5  # seconds that a busy machine may take
+KEYS_TIME = 5.0  # seconds from the removal of a key to the last request accepted with it
+DRAIN_TIME = 2.0  # seconds from the announcement that a server leaves to its last new request
+SLACK = 0.5  # seconds of tolerance for busy machines
 NEVER = float("inf")
 STREAMS = ("/letter/1", "/letter/1", "/notice/1")
 PLAIN = ("/once/1", "/check/1")
@@ -27,22 +27,22 @@
 
 @dataclass
 class Findings:
-    """What clients and servers saw."""
+    """Counts, faults and events that the checks after the run use."""
 
     counts: Counter[str] = field(default_factory=Counter)
     faults: list[str] = field(default_factory=list)
-    refused: set[str] = field(default_factory=set)  # requests that were called not run
+    refused: set[str] = field(default_factory=set)  # requests answered with 429 or 503, that is, not run
     once: set[str] = field(default_factory=set)  # requests that must not run twice
-    left_at: dict[str, float] = field(default_factory=dict)  # servers that said they leave
-    troubles: list[tuple[float, float]] = field(default_factory=list)  # of nodes and the store, from and to
-    cuts: list[Cut] = field(default_factory=list)  # of streams that had begun
-    stopped: list[Cut] = field(default_factory=list)  # of streams that a planned stop may have cut
+    left_at: dict[str, float] = field(default_factory=dict)  # when each server announced that it leaves
+    troubles: list[tuple[float, float]] = field(default_factory=list)  # start and end of faults of nodes and the store
+    cuts: list[Cut] = field(default_factory=list)  # of streams whose response had begun
+    stopped: list[Cut] = field(default_factory=list)  # of requests that were in progress at a planned stop
     by_whom: Troubles = field(default_factory=Troubles)
     restarts: defaultdict[int, list[Span]] = field(default_factory=lambda: defaultdict(list))  # planned ones, by node
 
 
 class SoakClients:
-    """Clients of one platform, each with one request at a time."""
+    """Clients of one platform, each of which sends one request at a time."""
 
     def __init__(self, traffic: Traffic, seconds: float, seed: int) -> None:
         self.traffic = traffic
@@ -50,18 +50,18 @@
         self._until = time.monotonic() + seconds
         self._seed = seed
         self._planned = anyio.Lock()  # a planned stop and other faults exclude each other
-        self._busy: set[int] = set()  # nodes that have a fault
+        self._busy: set[int] = set()  # numbers of nodes that have a fault
         self._version = 1
-        self._more: list[dict[str, Any]] = []  # routes of a long configuration
-        self._silent: Counter[str] = Counter()  # faults that keep each server silent, by address
-        self._looks: list[float] = []  # at the clock
-        self._keys: dict[str, float] = {KEY: NEVER}  # and when each was taken away
-        self._seen: defaultdict[tuple[int, int], int] = defaultdict(int)  # by node and process: newest version used
+        self._more: list[dict[str, Any]] = []  # additional routes that make the configuration long
+        self._silent: Counter[str] = Counter()  # number of faults that make a server unresponsive, by address
+        self._looks: list[float] = []  # readings of the monotonic clock
+        self._keys: dict[str, float] = {KEY: NEVER}  # API keys and when each was removed
+        self._seen: defaultdict[tuple[int, int], int] = defaultdict(int)  # latest version used, by node and process id
 
     async def _ask(
         self, path: str, node: int, key: str = KEY, *, through_a_stop: bool = False
     ) -> tuple[str, httpx.Response | None]:
-        """Send one request; gives its id, and its whole answer unless it was cut."""
+        """Send one request; return its id, and its complete response unless it was cut."""
         request = f"soak-{random.getrandbits(60):x}"
         sent, answer = time.monotonic(), None
         built = self.traffic.build(path, node=node, X_Request_Id=request, Authorization=f"Token {key}")
@@ -79,11 +79,11 @@
             return request, None
         self.findings.counts[f"{path.split('/')[1]} {answer.status_code}"] += 1
         if answer.status_code == httpx.codes.BAD_REQUEST:
-            self.findings.faults.append(f"{request} was refused for good: {answer.text}")
+            self.findings.faults.append(f"{request} was rejected as a bad request: {answer.text}")
         if answer.status_code in {429, 503}:
             self.findings.refused.add(request)
             if "retry-after" not in answer.headers:
-                self.findings.faults.append("a refusal does not tell when to come back")
+                self.findings.faults.append("a refusal has no Retry-After header")
         return request, answer
 
     async def _ask_stream(self, rng: random.Random) -> None:
@@ -95,7 +95,7 @@
             await anyio.sleep(0.05)
             return
         if list_ids(answer.text) != list(range(1, TOKENS + 1)):
-            self.findings.faults.append(f"events {list_ids(answer.text)} in an answer that ended as whole")
+            self.findings.faults.append(f"events {list_ids(answer.text)} in an answer that ended as complete")
         if answer.text.count(f" of {request}\n") != TOKENS:
             self.findings.faults.append(f"events of another request in the answer to {request}")
 
@@ -110,7 +110,7 @@
         if answer.status_code == httpx.codes.OK and answer.content != b"answer to " + request.encode():
             self.findings.faults.append(f"the answer to {request} is {answer.content!r}")
         if answer.status_code == httpx.codes.OK and sent > self._keys[key] + KEYS_TIME:
-            self.findings.faults.append(f"a key ran {sent - self._keys[key]:.2f} s after it was taken away")
+            self.findings.faults.append(f"a key was accepted {sent - self._keys[key]:.2f} s after its removal")
         await anyio.sleep(rng.uniform(0.0, 0.1))
 
 
--- a/tests/rig/soakfaults.py
+++ b/tests/rig/soakfaults.py
@@ -1,4 +1,4 @@
-"""Faults of nodes, servers, links and the store, and an operator, in a randomised run."""
+"""Faults of nodes, servers, links and the store, and changes by an operator, in a randomised run."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 from standins.platform.servers import Server
 from standins.platform.store import Mode
 
-STOP_TIME = 8.0  # seconds of grace
-SHORT = (0.2, 0.8)  # seconds; silences and full links that may not cut a stream
-LEAVES_WITH_WORD = 0.5  # share of leaving servers that the list shows as such before they are gone
-LONG_AGAIN = 0.7  # share of long configurations after which it is short again
+STOP_TIME = 8.0  # seconds that a node may take for a planned stop
+SHORT = (0.2, 0.8)  # seconds; unresponsive servers and full links may not cut a stream within this time
+LEAVES_WITH_WORD = 0.5  # share of leaving servers that the server list shows as leaving before they are removed
+LONG_AGAIN = 0.7  # share of long configurations that are followed by a short one
 
 
 class SoakFaults(SoakClients):
-    """What goes wrong beside the clients."""
+    """Injects faults while the clients run."""
 
     def list_faults(self) -> list[Callable[[random.Random], Awaitable[None]]]:
-        """List what goes wrong; each has random numbers of its own, by its place here."""
+        """List the faults; each has its own random generator, seeded by its position in this list."""
         return [
             self._fail_node, self._fail_store, self._fail_server, self._change, self._stop_node,
             self._change_often, self._silence_many, self._fill_links, self._stop_in_trouble,
@@ -40,7 +40,7 @@
 
     @asynccontextmanager
     async def _trouble(self) -> AsyncIterator[list[list[Span]]]:
-        """Record a trouble; also in the lists that are put into the one given."""
+        """Record the time span of a fault, also in each list that the caller adds to the yielded one."""
         began = time.monotonic()
         records: list[list[Span]] = []
         try:
@@ -53,7 +53,7 @@
 
     @asynccontextmanager
     async def _silence(self, servers: list[Server]) -> AsyncIterator[None]:
-        """Let servers neither answer nor work; several faults may do so at once."""
+        """Make servers unresponsive; several faults may do so to the same server at once."""
         began = time.monotonic()
         for server in servers:
             self._silent[server.address] += 1
@@ -72,7 +72,7 @@
 
     @asynccontextmanager
     async def _take_node(self, rng: random.Random) -> AsyncIterator[Node | None]:
-        """Take a node that has no fault; none when all have."""
+        """Reserve a random node that has no fault; yields None if all nodes have one."""
         free = [number for number in range(NODES) if number not in self._busy]
         if not free:
             yield None
@@ -150,7 +150,7 @@
         await self._crash(server, is_listed=False)
 
     def _list_staying(self) -> list[Server]:
-        """List the servers that have not ended and do not leave: each of them ends once."""
+        """List the ready servers that have not crashed and are not leaving, since each server ends only once."""
         servers = self.traffic.fleet.servers.values()
         return [one for one in servers if one.state == "ready" and not (one.is_crashed or one.announces_leaving)]
 
@@ -158,7 +158,7 @@
         return rng.choice(self._list_staying())
 
     async def _limit_server(self, rng: random.Random) -> None:
-        """Let a server name a rate limit, change it, and end it."""
+        """Make a server announce a rate limit, change it, and lift it."""
         await anyio.sleep(rng.uniform(0.5, 2.0))
         server = self._pick_server(rng)
         self.findings.counts["fault: server limited"] += 1
@@ -168,7 +168,7 @@
         server.rate_limit = None
 
     async def _rest_server(self, rng: random.Random) -> None:
-        """Let a server turn requests away and ask for rest."""
+        """Make a server reject requests and ask for rest."""
         await anyio.sleep(rng.uniform(1.0, 4.0))
         server = self._pick_server(rng)
         self.findings.counts["fault: server asks for rest"] += 1
@@ -177,7 +177,7 @@
         server.rest = None
 
     async def _tell_leaving(self, rng: random.Random) -> None:
-        """Let a server say in its answers that it leaves, before the list says so."""
+        """Make a server announce in its responses that it leaves, before the server list shows it."""
         await anyio.sleep(rng.uniform(3.0, 8.0))
         server = self._pick_server(rng)
         self.findings.counts["fault: server says that it leaves"] += 1
@@ -187,7 +187,7 @@
         await self._leave(server, has_word=rng.random() < LEAVES_WITH_WORD)
 
     async def _silence_many(self, rng: random.Random) -> None:
-        """Let some or all servers be silent at once, for less than a stream may be cut for."""
+        """Make some or all servers unresponsive at once, too briefly for a stream to be cut."""
         await anyio.sleep(rng.uniform(1.5, 5.0))
         servers = [one for one in self.traffic.fleet.servers.values() if not one.is_crashed]
         chosen = rng.choice([servers, [one for one in servers if one.kind], rng.sample(servers, len(servers) // 2)])
@@ -196,7 +196,7 @@
             await anyio.sleep(rng.uniform(*SHORT))
 
     async def _fill_links(self, rng: random.Random) -> None:
-        """Let the links of some nodes be full for a moment."""
+        """Fill the links of some nodes for a short time."""
         await anyio.sleep(rng.uniform(1.0, 4.0))
         self.findings.counts["fault: links full"] += 1
         for node in rng.sample(self.traffic.nodes, rng.randint(1, NODES)):
@@ -204,7 +204,7 @@
                 node.link.fill(rng.uniform(*SHORT))
 
     async def _change(self, rng: random.Random) -> None:
-        """Add a route, give a key away, and take another one away."""
+        """Add a route, add an API key, and remove another one."""
         await anyio.sleep(rng.uniform(0.3, 3.0))
         if self.traffic.fleet.store.mode is not Mode.HEALTHY:
             return
@@ -218,7 +218,7 @@
         await self._check_version(number, self._version)
 
     def _write(self) -> None:
-        """Write the next version."""
+        """Write the next version of the configuration."""
         self._version += 1
         routes = make_configuration(1)["routes"]
         added = {**routes[3], "name": "new", "path_prefix": f"/new-{self._version}/"}
@@ -228,7 +228,7 @@
         configure(self.traffic.fleet.store, made)
 
     async def _change_often(self, rng: random.Random) -> None:
-        """Make the configuration long, change it several times in a row, and mostly make it short again."""
+        """Change the configuration several times in a row, often a long one, and mostly make it short again."""
         await anyio.sleep(rng.uniform(2.0, 6.0))
         self._more = make_more_routes(rng.choice([0, 500, 2000]), rng)
         self.findings.counts[f"fault: changes in a row of {len(self._more)} routes"] += 1
@@ -240,7 +240,7 @@
             self._more = []
 
     async def _check_version(self, number: int, version: int) -> None:
-        """A process that has used a version never goes back to an older one."""
+        """Check that a process that has used a version never goes back to an older one."""
         process = self.traffic.nodes[number].process.popen.pid
         _, answer = await self._ask(f"/new-{version}/1", number)
         if answer is None or self.traffic.nodes[number].process.popen.pid != process or version != self._version:
@@ -251,7 +251,7 @@
             self.findings.faults.append(f"node {number} went back from version {version}")
 
     async def _stop_node(self, rng: random.Random) -> None:
-        """Stop a node as planned, with a request under way and nothing else going wrong."""
+        """Stop a node as planned, with a request in progress and no other fault of nodes or the store."""
         await anyio.sleep(rng.uniform(4.0, 9.0))
         async with self._planned, self._take_node(rng) as node:
             if node is None or not await node.is_ready(self.traffic.client):
@@ -272,7 +272,7 @@
         self.findings.restarts[self.traffic.nodes.index(node)].append(Span(time.monotonic(), time.monotonic()))
 
     async def _stop_in_trouble(self, rng: random.Random) -> None:
-        """Stop a node as planned, with streams under way, beside a change and the loss of a server."""
+        """Stop a node as planned, with streams in progress, during a configuration change and the loss of a server."""
         await anyio.sleep(rng.uniform(4.0, 9.0))
         async with self._planned, self._take_node(rng) as node, anyio.create_task_group() as tasks:
             if node is None or not await node.is_ready(self.traffic.client):
--- a/tests/rig/stopsoak.py
+++ b/tests/rig/stopsoak.py
@@ -1,4 +1,4 @@
-"""The randomised run with planned stops all the time, beside faults of servers and links."""
+"""The randomised run with frequent planned stops and with faults of servers and links."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class StopSoak(TrafficSoak):
-    """The same clients; most faults are planned stops."""
+    """Runs the clients of TrafficSoak; most faults are planned stops."""
 
     def list_faults(self) -> list[Callable[[random.Random], Awaitable[None]]]:
         return [
--- a/tests/rig/traffic.py
+++ b/tests/rig/traffic.py
@@ -1,4 +1,4 @@
-"""A node of the platform's face as a process, its platform in this one, and a client."""
+"""Nodes in platform mode as processes, with a stand-in of the platform and a client in the process of the test."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from standins.platform.servers import Fleet, Server, open_fleet
 from standins.relay import Path as NetworkPath
 
-ACCEPT_TIME = 0.02  # seconds for the stand-ins to take the last connections of nodes that have ended
+ACCEPT_TIME = 0.02  # seconds for the stand-ins to accept the last connections of nodes that have ended
 START_TIME = 20.0  # seconds; generous, for busy machines
 
 
@@ -38,7 +38,7 @@
 
 
 def get_address(node: int) -> str:
-    """Give the IP number that the connections of a node with a link of its own come from."""
+    """Return the source IP address of the connections of a node that has its own link."""
     return f"127.0.1.{node + 1}"
 
 
@@ -61,12 +61,12 @@
     peer_port: int
     module: str
     arguments: list[str]
-    store_path: NetworkPath  # may be cut and healed
-    store_address: str  # one for each node, so that a test can treat their calls apart
-    link: Link | None  # that the answers of the store and of the servers pass
+    store_path: NetworkPath  # network path to the store that tests cut and heal
+    store_address: str  # differs for each node, so that a test can tell their calls apart
+    link: Link | None  # limits the bandwidth of responses of the store and the servers
 
     def restart(self) -> None:
-        """Start the process anew, as the platform does after its end."""
+        """Restart the process, as the platform does after its end."""
         self.process.end()
         self.process = Process(self.module, self.arguments, self.process.output)
 
@@ -89,11 +89,11 @@
         return [json.loads(line) for line in lines if line.startswith(b"{") and line.endswith(b"\n")]
 
     def find_log(self, request: str) -> dict[str, Any]:
-        """Find the line at the end of a request; lines on the way name it too."""
+        """Return the log line for the end of a request; earlier lines name the request too."""
         return next(line for line in self.read_log() if line.get("request") == request and "steps" in line)
 
     async def wait_for_log(self, request: str) -> dict[str, Any]:
-        """Wait for the line at the end of a request; it comes after the client has the end of the answer."""
+        """Wait for the log line for the end of a request; it is written after the client has the end of the answer."""
         await wait_for(lambda: any(line.get("request") == request and "steps" in line for line in self.read_log()))
         return self.find_log(request)
 
@@ -108,11 +108,11 @@
     bounds: dict[str, float]
     nodes: list[Node] = field(default_factory=list)
     _numbers: Any = field(default_factory=lambda: count(1))
-    _links: dict[str, Link] = field(default_factory=dict)  # by the address of the node
+    _links: dict[str, Link] = field(default_factory=dict)  # by IP address of the node
 
     def find_link(self, stream: SocketStream) -> Link | None:
-        """Find the link of the node that has made a connection."""
-        return self._links.get(stream.extra(SocketAttribute.remote_address)[0])  # noqa: S610 # no query
+        """Find the link of the node that opened a connection."""
+        return self._links.get(stream.extra(SocketAttribute.remote_address)[0])  # noqa: S610 # not a SQL query
 
     async def start_node(self, link: Link | None = None) -> Node:
         client_port, readiness_port, metrics_port, peer_port = (find_port() for _ in range(4))
@@ -155,7 +155,7 @@
             await self.fleet.add(f"127.0.0.1:{find_port()}", "llm", hall, "big") for hall in halls for _ in range(each)
         ]
         await wait_for(lambda: all(server.held for server in servers))
-        await anyio.sleep(0.3)  # for the node to read what they hold now
+        await anyio.sleep(0.3)  # for the node to read which layers they hold now
         return servers
 
     async def add_desk(self) -> Server:
@@ -164,15 +164,15 @@
         return server
 
     async def ask(self, path: str, method: str = "POST", node: int = 0, **headers: str) -> httpx.Response:
-        """Send a request and read the whole answer; underscores in header names stand for dashes."""
+        """Send a request and read the complete answer; underscores in names of headers become dashes."""
         return await self.client.send(self.build(path, method, node, **headers))
 
     async def ask_for(self, body: bytes, path: str, node: int = 0, **headers: str) -> httpx.Response:
-        """Send a request with a body of its own."""
+        """Send a request with the given body."""
         return await self.client.send(self._build(path, "POST", node, body, headers))
 
     def build(self, path: str, method: str = "POST", node: int = 0, **headers: str) -> httpx.Request:
-        """Build a request, as it is asked with."""
+        """Build a request as `ask` sends it."""
         return self._build(path, method, node, b"letter", headers)
 
     def _build(self, path: str, method: str, node: int, body: bytes, headers: dict[str, str]) -> httpx.Request:
@@ -193,9 +193,9 @@
 async def open_traffic(
     folder: Path, nodes: int = 1, link_rate: float | None = None, **bounds: float
 ) -> AsyncIterator[Traffic]:
-    """Run a platform with a configuration, and nodes that are ready.
+    """Run a platform with a configuration, and nodes; wait until they are ready.
 
-    :param link_rate: bytes a second of each node's link; none for nodes without links.
+    :param link_rate: bytes per second of the link of each node; None for nodes without links.
     """
     address = f"127.0.0.1:{find_port()}"
     async with open_fleet(address) as fleet, httpx.AsyncClient(timeout=10.0) as client:
--- a/tests/rig/trafficdemo.py
+++ b/tests/rig/trafficdemo.py
@@ -1,4 +1,4 @@
-"""The demonstration on the users' platform: a streamed answer over two halls, one server lost on the way."""
+"""Demonstration in platform mode: a streamed answer with servers in two halls, one of which is lost meanwhile."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 async def lose_second_part(traffic: Traffic) -> None:
-    """Make a server of the chain under way fall silent."""
+    """Make a server of the chain in use unresponsive."""
     await wait_for(lambda: any(run.tokens for run in traffic.fleet.runs))
     part = traffic.fleet.runs[0].tokens[0][-1]
-    print(f"server at {part.address} falls silent, it ran layers [{part.first},{part.end})")
+    print(f"server at {part.address} stops responding; it ran layers [{part.first},{part.end})")
     traffic.fleet.servers[part.address].is_unresponsive = True
 
 
--- a/tests/rig/trafficjudge.py
+++ b/tests/rig/trafficjudge.py
@@ -1,4 +1,4 @@
-"""Judges whether the promises allow that a stream which had begun did not come to its end."""
+"""Judges whether the guarantees allow that a stream was cut after its response had begun."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-SHORT_SILENCE = 1.0  # seconds; a shorter silence of servers may not cut a stream
-JOINED = 0.2  # seconds between two silences; over less, a node that looks now and then may hear nothing
-SOUND_TIME = 3.0  # seconds before a request from which on its node and servers are looked at
-OUTAGE = 3.0  # seconds; after a longer outage of the store keys may be too old for a second send
+SHORT_SILENCE = 1.0  # seconds; servers that are unresponsive for less than this may not cut a stream
+JOINED = 0.2  # seconds; a node that probes periodically may get no response within a shorter gap between two silences
+SOUND_TIME = 3.0  # seconds before a request; faults of its node and servers count from then on
+OUTAGE = 3.0  # seconds; after a longer outage of the store the API keys may be too old for a retry
 
 
 class Span(NamedTuple):
-    """From when to when."""
+    """A time span on the monotonic clock, in seconds."""
 
     start: float
     end: float
@@ -25,7 +25,7 @@
 
 
 class Cut(NamedTuple):
-    """A stream whose answer had begun and did not come to its end."""
+    """A stream that was cut after its response had begun."""
 
     request: str
     path: str
@@ -37,22 +37,22 @@
 
 @dataclass
 class Troubles:
-    """What went wrong with whom; servers go by their addresses."""
+    """Faults by node or server during a run; servers are identified by their addresses."""
 
     nodes: defaultdict[int, list[Span]] = field(default_factory=lambda: defaultdict(list))  # killed or frozen
-    stores: defaultdict[int, list[Span]] = field(default_factory=lambda: defaultdict(list))  # out of reach, by node
-    silences: defaultdict[str, list[Span]] = field(default_factory=lambda: defaultdict(list))  # of servers
+    stores: defaultdict[int, list[Span]] = field(default_factory=lambda: defaultdict(list))  # unreachable, by node
+    silences: defaultdict[str, list[Span]] = field(default_factory=lambda: defaultdict(list))  # unresponsive, by server
     stalls: defaultdict[int, list[Span]] = field(
         default_factory=lambda: defaultdict(list)
-    )  # without a processor, by node
-    lost_at: dict[str, float] = field(default_factory=dict)  # servers that have ended
-    waits: dict[int, list[Span]] = field(default_factory=dict)  # of what was sent over the link of each node
-    pauses: list[Span] = field(default_factory=list)  # of the stand-ins: all were silent
+    )  # waiting for a processor, by node
+    lost_at: dict[str, float] = field(default_factory=dict)  # crashes, by server
+    waits: dict[int, list[Span]] = field(default_factory=dict)  # of data queued on the link of each node
+    pauses: list[Span] = field(default_factory=list)  # of the process of the stand-ins: all of them were unresponsive
 
     def find_excuse(self, cut: Cut, servers: Iterable[str]) -> str | None:
-        """Find what may have cut a stream; none when its node and servers were sound.
+        """Return the fault that may have cut a stream; None if its node and servers were healthy.
 
-        :param servers: all that it ran over.
+        :param servers: addresses of all servers that the stream used.
         """
         servers = set(servers)
         looked_at = Span(cut.sent_at - SOUND_TIME, cut.cut_at)
@@ -72,7 +72,7 @@
 
 
 def join(spans: Iterable[Span]) -> list[Span]:
-    """Join spans that overlap or nearly do."""
+    """Merge spans that overlap or are less than JOINED apart."""
     joined: list[Span] = []
     for span in sorted(spans):
         if joined and span.start - joined[-1].end < JOINED:
@@ -83,7 +83,7 @@
 
 
 def find_pauses(times: Iterable[float], limit: float) -> list[Span]:
-    """Find where a clock that was read often stood still."""
+    """Return the gaps of at least `limit` seconds between consecutive readings of the clock."""
     return [Span(one, other) for one, other in itertools.pairwise(times) if other - one >= limit]
 
 
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -1,4 +1,4 @@
-"""The mechanisms of the face on the users' platform, each with the test that must fail without it."""
+"""The mechanisms of the platform mode, each with the test that must fail without it."""
 
 from __future__ import annotations
 
--- a/tests/rig/trafficsoak.py
+++ b/tests/rig/trafficsoak.py
@@ -1,4 +1,4 @@
-"""A randomised run of nodes of the platform's face under faults; what clients and servers saw decides."""
+"""A randomised run of nodes in platform mode under faults, checked by what clients and servers saw."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 from rig.traffic import assert_layers_once_in_order, get_address, open_traffic
 from rig.trafficjudge import Cut, Span, find_pauses
 
-CONTACT_TIME = 3.0  # seconds without trouble after which the bounds hold
-RECOVERY_TIME = 12.0  # seconds
+CONTACT_TIME = 3.0  # seconds after the end of a fault; the time bounds hold again from then on
+RECOVERY_TIME = 12.0  # seconds after the last fault; then every node must serve again
 LINK_RATE = 2_500_000.0  # bytes a second, 20 Mbit/s, as small nodes have
-LOOK_GAP = 0.05  # seconds between looks at the clock
-PAUSE = 0.2  # seconds between them when this process was held up
+LOOK_GAP = 0.05  # seconds between readings of the clock
+PAUSE = 0.2  # seconds; a longer gap between readings means that this process did not run
 
 
 class TrafficSoak(SoakFaults):
-    """Clients, faults and an operator over one platform, and the checks of what was kept."""
+    """Runs clients, faults and an operator on one platform, then checks the guarantees."""
 
     async def run(self) -> None:
-        """Run clients and faults until the time is over, then check what was kept."""
+        """Run clients and faults until the time is over, then check the guarantees."""
         traffic = self.traffic
         traffic.fleet.answer_tokens, traffic.fleet.token_time = TOKENS, 0.02
         await traffic.add_chains(each=3)
         for _ in range(3):
-            (await traffic.add_desk()).work_time = 0.1  # so that some are lost at work
+            (await traffic.add_desk()).work_time = 0.1  # so that some servers crash while they handle a request
         clients = [self._ask_stream] * 6 + [self._ask_plain] * 4
         faults = self.list_faults()
         async with anyio.create_task_group() as watch:
@@ -53,7 +53,7 @@
         self.findings.faults += find_breaches(self.traffic.fleet.record, self._was_interrupted)
 
     def _was_interrupted(self, address: str, start: float, end: float) -> bool:
-        """Tell whether a node was killed, frozen or started again in a time."""
+        """Return whether a node was killed, frozen or restarted within a time span."""
         number = next(index for index in range(NODES) if get_address(index) == address)
         spans = [*self.findings.by_whom.nodes[number], *self.findings.restarts[number]]
         return any(span.meets(Span(start, end)) for span in spans)
@@ -83,7 +83,7 @@
         await anyio.sleep(RECOVERY_TIME)
         for number, node in enumerate(self.traffic.nodes):
             if node.process.popen.poll() is not None:
-                self.findings.faults.append(f"node {number} ended with {node.process.popen.returncode}")
+                self.findings.faults.append(f"node {number} exited with status {node.process.popen.returncode}")
                 continue
             for path in ("/letter/1", "/check/1"):
                 _, answer = await self._ask(path, number)
@@ -95,7 +95,7 @@
         fleet, findings = self.traffic.fleet, self.findings
         runs = Counter(run.request for run in fleet.runs)
         findings.faults += [f"{one} ran {runs[one]} times" for one in findings.once if runs[one] > 1]
-        findings.faults += [f"{one} was called not run, and ran" for one in findings.refused if runs[one]]
+        findings.faults += [f"{one} was refused as not run, but it ran" for one in findings.refused if runs[one]]
         try:
             assert_layers_once_in_order(fleet)
         except AssertionError as error:
@@ -103,10 +103,12 @@
         for run in fleet.runs:
             late = run.started - findings.left_at.get(run.server, NEVER)
             if late > DRAIN_TIME + SLACK and not self._was_troubled(run.started):
-                findings.faults.append(f"{run.request} reached {run.server} {late:.2f} s after it left")
+                findings.faults.append(
+                    f"{run.request} reached {run.server} {late:.2f} s after it announced its leaving"
+                )
 
     def _check_cuts(self) -> None:
-        """No stream that had begun is cut while its node and its servers are sound."""
+        """Check that no stream was cut after its response had begun while its node and servers were healthy."""
         findings, fleet = self.findings, self.traffic.fleet
         links = [node.link for node in self.traffic.nodes]
         findings.by_whom.waits = {
@@ -119,7 +121,7 @@
             findings.counts[f"begun and cut: {excuse or 'no excuse'}"] += 1
             if excuse is None:
                 findings.faults.append(self._describe_cut(cut))
-        judged = {cut.request for cut in findings.cuts}  # those that had begun, above
+        judged = {cut.request for cut in findings.cuts}  # those whose response had begun were checked above
         for cut in findings.stopped:
             if cut.request not in judged:
                 findings.faults.append(f"a planned stop cut a stream: {self._describe_cut(cut)}")
@@ -136,12 +138,12 @@
         return f"{cut.path} {cut.request} of node {cut.node} cut after {took:.2f} s, {cut.cause}, {excuse}: {told}"
 
     def _was_troubled(self, at: float) -> bool:
-        """Tell whether a node or the store was in trouble in the time before."""
+        """Return whether a node or the store had a fault shortly before a time."""
         return any(began <= at and ended >= at - DRAIN_TIME - CONTACT_TIME for began, ended in self.findings.troubles)
 
 
 async def run_traffic_soak(folder: Path, seconds: float, seed: int, kind: type[TrafficSoak] = TrafficSoak) -> Findings:
-    """Run one seed; gives what was found."""
+    """Run one seed and return the findings."""
     async with open_traffic(folder, nodes=NODES, link_rate=LINK_RATE) as traffic:
         soak = kind(traffic, seconds, seed)
         await soak.run()
@@ -152,7 +154,7 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--seconds", type=float, default=30.0)
     parser.add_argument("--seeds", type=int, nargs="+", default=[1])
-    parser.add_argument("--keep", type=Path, help="folder for the logs of the nodes of seeds that break a promise")
+    parser.add_argument("--keep", type=Path, help="folder for the node logs of seeds with faults")
     options = parser.parse_args()
     failed = 0
     for seed in options.seeds:
--- a/tests/rig/virtualtime.py
+++ b/tests/rig/virtualtime.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock moves only while all its tasks wait: a busy machine does not change what a test sees."""
+"""An event loop on virtual time, which advances only while all tasks wait, so that machine load can't affect tests."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class _JumpingSelector(selectors.DefaultSelector):
-    """Finds what is ready, and lets the time of a wait pass at once."""
+    """Polls without waiting; if nothing is ready, advances the virtual time by the timeout."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -22,7 +22,7 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """Has no wait in it; for tests without sockets, processes or threads."""
+    """Event loop that never waits in real time; for tests without sockets, processes or threads."""
 
     def __init__(self) -> None:
         self._jumping = _JumpingSelector()
@@ -33,7 +33,7 @@
 
 
 class VirtualClock:
-    """Stands in for the module `time` where a clock is read inside such a loop."""
+    """Replaces the module `time` where code that runs in a VirtualTimeLoop reads the clock."""
 
     CLOCK_BOOTTIME = 7
 
--- a/tests/test_boundary.py
+++ b/tests/test_boundary.py
@@ -1,4 +1,4 @@
-"""Names of the platform's wire stand in one folder."""
+"""Wire names of the platform may appear only in its adapter, the folder platform/."""
 
 from __future__ import annotations
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,4 @@
-"""The own days under deploy/days/ can be played on any deployment."""
+"""The days under deploy/days/ can be run on any deployment."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize("path", DAYS, ids=lambda path: path.stem)
 def test_day_names_services_and_classes_by_their_place(path: Path) -> None:
-    """A name of one deployment ends the play of the day, and with it a hunt, on all others."""
+    """A name from one deployment stops the run of the day, and any search that runs it, on all other deployments."""
     troubles = list_troubles(path)
     assert troubles
     for trouble in troubles:
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -1,4 +1,4 @@
-"""What the proofs take out stands in the sources, so that no proof is lost when the code changes."""
+"""The text that proofs and ablations remove is still in the sources, so that no proof is lost when code changes."""
 
 from __future__ import annotations
 
