--- a/tests/core/traffic/test_fleetload.py
+++ b/tests/core/traffic/test_fleetload.py
@@ -22,8 +22,8 @@
     random.seed(1)  # the random source of the code under test
 
 
-def play_large(nodes: int, rate: float, seconds: float, *, tells_loads: bool = True) -> tuple[Figures, float]:
-    model = FleetModel(LARGE_ENGINE, LARGE, nodes=nodes, rate=rate, seed=1, tells_loads=tells_loads)
+def play_large(nodes: int, rate: float, seconds: float, *, reports_loads: bool = True) -> tuple[Figures, float]:
+    model = FleetModel(LARGE_ENGINE, LARGE, nodes=nodes, rate=rate, seed=1, reports_loads=reports_loads)
     figures = model.run(seconds)
     return figures, figures.compute_peak(model.list_firsts())
 
@@ -54,14 +54,14 @@
 @pytest.mark.parametrize("tells_loads", [True, False], ids=["sum over all nodes", "own load times the nodes"])
 def test_best_chain_of_all_is_chosen_by_too_many_nodes(
     monkeypatch: pytest.MonkeyPatch,
-    tells_loads: bool,  # noqa: FBT001 # a parameter of the test
+    reports_loads: bool,  # noqa: FBT001 # a parameter of the test
 ) -> None:
     """The overload that a small set of candidates prevents, while other servers are empty.
 
     There are 152 refusals with reported loads, and 216 with the own load times the number of nodes.
     """
     take_all_firsts(monkeypatch)
-    figures, peak = play_large(195, rate=244.0, seconds=4.0, tells_loads=tells_loads)
+    figures, peak = play_large(195, rate=244.0, seconds=4.0, reports_loads=reports_loads)
     assert peak > 3.0
     assert figures.refusals > 50
 
@@ -101,10 +101,10 @@
     assert model.figures.outside > 0.3 * figures.begun.total()
 
 
-def play_loss(*, tells_losses: bool) -> Figures:
+def play_loss(*, reports_losses: bool) -> Figures:
     """Make a sixth of the servers unresponsive after two seconds; return the figures of the next two seconds."""
     random.seed(1)
-    model = FleetModel(LARGE_ENGINE, LARGE, nodes=195, rate=244.0, seed=1, tells_losses=tells_losses)
+    model = FleetModel(LARGE_ENGINE, LARGE, nodes=195, rate=244.0, seed=1, reports_losses=reports_losses)
     model.run(2.0)
     model.lose(1 / 6)
     model.figures = Figures()
@@ -116,6 +116,6 @@
 
     Servers refuse 164 requests with them and 298 without.
     """
-    told, alone = play_loss(tells_losses=True), play_loss(tells_losses=False)
+    told, alone = play_loss(reports_losses=True), play_loss(reports_losses=False)
     assert told.refused_share < 0.5 * alone.refused_share
     assert told.refusals < 0.6 * alone.refusals
--- a/tests/rig/deadlymodel.py
+++ b/tests/rig/deadlymodel.py
@@ -17,14 +17,14 @@
 from vaneturn_core.traffic.crashes import STARTING_TIME_S, CrashBoard, Suspicion
 from vaneturn_core.traffic.servers import ServerId
 
-STREAM_TIME = 3.3  # mean duration of an answer in seconds
-FIRST_TIME = (0.03, 0.15)  # seconds from a send to the first event; range
-ENDS_AFTER = 0.1  # seconds that a deadly request runs before it crashes its server
-READ_TIME = 0.006  # seconds to read a prompt; prompts of streams that move at the same time are read in sequence
-BACK_TIME = 5.0  # seconds from the crash of a server until it holds its layers again
-WORD_TIME = 0.04  # seconds until the report of one node has reached all others, over two relays
-RETURN_TIME = 0.1  # seconds until a client sends its request again
-MOST_MOVES = 3  # number of times that one try may move to another server
+MEAN_STREAM_TIME_S = 3.3  # mean duration of an answer in seconds
+FIRST_EVENT_RANGE_S = (0.03, 0.15)  # seconds from a send to the first event; range
+CRASH_DELAY_S = 0.1  # seconds that a deadly request runs before it crashes its server
+PROMPT_READ_TIME_S = 0.006  # seconds; prompts of streams that move at the same time are read in sequence
+RESTART_TIME_S = 5.0  # seconds from the crash of a server until it holds its layers again
+REPORT_DELAY_S = 0.04  # seconds until the report of one node has reached all others, over two relays
+CLIENT_RETRY_DELAY_S = 0.1  # seconds until a client sends its request again
+MAX_MOVES = 3  # number of times that a request may move to another server
 
 
 @dataclass
@@ -45,14 +45,14 @@
 
 
 @dataclass(eq=False)
-class _Try:
+class _Request:
     node: int
     content: Content
     is_deadly: bool
     moves: int = 0
-    returns: int = 0
-    is_sound: bool = False
-    heard_at: float = float("inf")
+    client_retries: int = 0
+    is_harmless: bool = False
+    first_event_at: float = float("inf")
     server: int | None = None
     run: int = 0  # incremented with each server, so that events planned for an earlier server are ignored
 
@@ -73,14 +73,14 @@
         self.harm = Harm()
         self._bars = bars
         self._rates = rate, deadly_rate
-        self._streams: list[dict[_Try, None]] = [{} for _ in range(servers)]  # by server; dicts keep their order
+        self._streams: list[dict[_Request, None]] = [{} for _ in range(servers)]  # by server; dicts keep their order
         self._starts = [0] * servers
-        self._back_at = [0.0] * servers
+        self._restarted_at = [0.0] * servers
         self._read_until = [0.0] * servers
         self._boards = [CrashBoard(lambda: self.now, lambda: ["v1"]) for _ in range(nodes)]
-        self._is_telling = [False] * nodes
+        self._is_report_scheduled = [False] * nodes
         for number, board in enumerate(self._boards):
-            board.listeners.append(lambda number=number: self._tell(number))  # type: ignore[misc]
+            board.listeners.append(lambda number=number: self._schedule_report(number))  # type: ignore[misc]
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self._contents = itertools.count(1000)
@@ -101,94 +101,94 @@
         self._schedule(self.random.expovariate(self._rates[0]), self._arrive)
         is_popular = self.random.random() < 0.1
         content = Content(self.random.randrange(5) + 10 if is_popular else next(self._contents))
-        self._send(_Try(self._draw_node(), content, is_deadly=False))
+        self._send(_Request(self._draw_node(), content, is_deadly=False))
 
     def _arrive_deadly(self) -> None:
         self._schedule(self.random.expovariate(self._rates[1]), self._arrive_deadly)
-        self._send(_Try(self._draw_node(), Content(1), is_deadly=True))
+        self._send(_Request(self._draw_node(), Content(1), is_deadly=True))
 
     def _draw_node(self) -> int:
         return self.random.randrange(len(self._boards))
 
-    def _send(self, one: _Try) -> None:
-        if self._bars and self._boards[one.node].is_barred(one.content):
-            self.harm.barred += not one.is_deadly
+    def _send(self, request: _Request) -> None:
+        if self._bars and self._boards[request.node].is_barred(request.content):
+            self.harm.barred += not request.is_deadly
             return
-        able = [server for server, back_at in enumerate(self._back_at) if back_at <= self.now]
-        if not able:
-            self.harm.broken += not one.is_deadly
+        eligible = [server for server, restarted_at in enumerate(self._restarted_at) if restarted_at <= self.now]
+        if not eligible:
+            self.harm.broken += not request.is_deadly
             return
-        pair = self.random.choices(able, k=2)
-        server = one.server = min(pair, key=lambda each: len(self._streams[each]))
-        self._streams[server][one] = None
-        one.run, one.heard_at = one.run + 1, float("inf")
-        self.harm.sends += [self.now] * one.is_deadly
-        read_at = self._read_until[server] = max(self.now, self._read_until[server]) + READ_TIME
-        first = read_at - self.now + self.random.uniform(*FIRST_TIME)
-        if one.is_deadly:
-            self._plan(one, first + ENDS_AFTER, lambda: self._end_server(server))
+        candidates = self.random.choices(eligible, k=2)
+        server = request.server = min(candidates, key=lambda each: len(self._streams[each]))
+        self._streams[server][request] = None
+        request.run, request.first_event_at = request.run + 1, float("inf")
+        self.harm.sends += [self.now] * request.is_deadly
+        read_at = self._read_until[server] = max(self.now, self._read_until[server]) + PROMPT_READ_TIME_S
+        first = read_at - self.now + self.random.uniform(*FIRST_EVENT_RANGE_S)
+        if request.is_deadly:
+            self._plan(request, first + CRASH_DELAY_S, lambda: self._end_server(server))
             return
-        self._plan(one, first, lambda: self._hear(one))
-        self._plan(one, first + self.random.expovariate(1 / STREAM_TIME), lambda: self._finish(one))
+        self._plan(request, first, lambda: self._record_first_event(request))
+        self._plan(request, first + self.random.expovariate(1 / MEAN_STREAM_TIME_S), lambda: self._finish(request))
 
-    def _plan(self, one: _Try, delay: float, action: Callable[[], None]) -> None:
-        """Schedule an action for a try; it is skipped if the try has left its server by then."""
-        run = one.run
-        self._schedule(delay, lambda: action() if one.run == run and one.server is not None else None)
+    def _plan(self, request: _Request, delay: float, action: Callable[[], None]) -> None:
+        """Schedule an action for a request; it is skipped if the request has left its server by then."""
+        run = request.run
+        self._schedule(delay, lambda: action() if request.run == run and request.server is not None else None)
 
-    def _hear(self, one: _Try) -> None:
-        one.heard_at = self.now
-        self._plan(one, STARTING_TIME_S, lambda: self._prove(one))
+    def _record_first_event(self, request: _Request) -> None:
+        request.first_event_at = self.now
+        self._plan(request, STARTING_TIME_S, lambda: self._mark_harmless(request))
 
-    def _prove(self, one: _Try) -> None:
-        one.is_sound = True
-        self._boards[one.node].record_completion(one.content, "v1")
+    def _mark_harmless(self, request: _Request) -> None:
+        request.is_harmless = True
+        self._boards[request.node].record_completion(request.content, "v1")
 
-    def _finish(self, one: _Try) -> None:
-        assert one.server is not None
-        del self._streams[one.server][one]
-        one.server = None
-        self._boards[one.node].record_completion(one.content, "v1")
+    def _finish(self, request: _Request) -> None:
+        assert request.server is not None
+        del self._streams[request.server][request]
+        request.server = None
+        self._boards[request.node].record_completion(request.content, "v1")
 
     def _end_server(self, server: int) -> None:
         self.harm.ended.append(self.now)
         name = ServerId(f"i-{server}-{self._starts[server]}")
         self._starts[server] += 1
-        self._back_at[server] = self.now + BACK_TIME
+        self._restarted_at[server] = self.now + RESTART_TIME_S
         lost, self._streams[server] = list(self._streams[server]), {}
-        for one in lost:
-            one.server = None
-            if not one.is_sound:
-                word = Suspicion.NO_EVENT if one.heard_at > self.now else Suspicion.STARTED
-                self._boards[one.node].record_lost_connection(name, "v1", one.content, word)
-        for node in sorted({one.node for one in lost}):
+        for request in lost:
+            request.server = None
+            if not request.is_harmless:
+                suspicion = Suspicion.NO_EVENT if request.first_event_at > self.now else Suspicion.STARTED
+                self._boards[request.node].record_lost_connection(name, "v1", request.content, suspicion)
+        for node in sorted({request.node for request in lost}):
             self._boards[node].confirm(name)
         self.random.shuffle(lost)
-        for one in lost:
-            self._go_on(one)
-
-    def _go_on(self, one: _Try) -> None:
-        if one.moves < MOST_MOVES:
-            one.moves += 1
-            self._send(one)
-        elif one.is_deadly and not one.returns:
-            again = _Try(self._draw_node(), one.content, is_deadly=True, returns=1)
-            self._schedule(RETURN_TIME, lambda: self._send(again))
+        for request in lost:
+            self._resume(request)
+
+    def _resume(self, request: _Request) -> None:
+        if request.moves < MAX_MOVES:
+            request.moves += 1
+            self._send(request)
+        elif request.is_deadly and not request.client_retries:
+            retry = _Request(self._draw_node(), request.content, is_deadly=True, client_retries=1)
+            self._schedule(CLIENT_RETRY_DELAY_S, lambda: self._send(retry))
         else:
-            self.harm.broken += not one.is_deadly
+            self.harm.broken += not request.is_deadly
 
-    def _tell(self, node: int) -> None:
+    def _schedule_report(self, node: int) -> None:
         """Report the crashes known to a node to all others."""
-        if self._bars and not self._is_telling[node]:
-            self._is_telling[node] = True
-            self._schedule(WORD_TIME, lambda: self._join(node))
+        if self._bars and not self._is_report_scheduled[node]:
+            self._is_report_scheduled[node] = True
+            self._schedule(REPORT_DELAY_S, lambda: self._report_crashes(node))
 
-    def _join(self, node: int) -> None:
-        self._is_telling[node] = False
-        ends = self._boards[node].list_crashes()
+    def _report_crashes(self, node: int) -> None:
+        self._is_report_scheduled[node] = False
+        crashes = self._boards[node].list_crashes()
         for board in self._boards:
             if board.check != self._boards[node].check:
-                board.join(ends)
+                board.join(crashes)
         if self.harm.all_barring is None and all(board.is_barred(Content(1)) for board in self._boards):
             self.harm.all_barring = self.now
 
--- a/tests/rig/fleetmodel.py
+++ b/tests/rig/fleetmodel.py
@@ -25,18 +25,18 @@
 from vaneturn_core.traffic.retries import WindowedRetryBudget
 from vaneturn_core.traffic.servers import BackendServer, ServerId, ServerLoad
 
-TELL_INTERVAL = 1.0  # seconds between two reports of a relay to a node
-WORD_LAG = 0.8  # seconds from the measurement of a load until a node receives it, over two relays
-TELL_TIME = 0.1  # seconds that a detected loss takes to the relay, and again from there to the other nodes
+REPORT_INTERVAL_S = 1.0  # seconds between two reports of a relay to a node
+LOAD_REPORT_DELAY_S = 0.8  # seconds from the measurement of a load until a node receives it, over two relays
+LOSS_REPORT_DELAY_S = 0.1  # seconds that a detected loss takes to the relay, and again from there to the other nodes
 RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW = 0.2, 574.0, 10.0  # ratio and slack of retries; window in seconds
 MAX_TRIES = 3
 EVENT_TOKENS = 6
-LATE_FIRST = 0.6  # seconds; a stream whose first event takes longer counts as late
-LATE_PAUSE = 0.3  # seconds; a stream with longer pauses between events counts as late
-READ_RATE = 128_000.0  # prompt tokens a second through all layers, times the factor below
-READ_FACTOR = 0.6  # times the step factor of a server kind: how much slower it reads than the fastest kind
-KEPT_TIME = 6.0  # seconds since the last stream; an idle connection may be open for so long
-QUEUE_WAIT = 0.4  # seconds that a request waits at least when its first server has no free slot
+LATE_FIRST_EVENT_S = 0.6  # seconds; a stream whose first event takes longer counts as late
+LATE_PAUSE_S = 0.3  # seconds; a stream with longer pauses between events counts as late
+READ_RATE_TOKENS_PER_S = 128_000.0  # prompt tokens a second through all layers, times the factor below
+READ_TIME_FACTOR = 0.6  # times the step factor of a server kind: how much slower it reads than the fastest kind
+IDLE_CONNECTION_TIME_S = 6.0  # seconds since the last stream; an idle connection may be open for so long
+QUEUE_WAIT_S = 0.4  # seconds that a request waits at least when its first server has no free slot
 
 
 @dataclass
@@ -49,7 +49,7 @@
     refusals: int = 0  # by servers; includes refusals of requests that another server accepted
     begun: Counter[ServerId] = field(default_factory=Counter)  # streams by first server
     outside: int = 0  # streams whose first server is in another hall than the node
-    returns: int = 0  # streams whose first server the node used within KEPT_TIME
+    returns: int = 0  # streams whose first server the node used within IDLE_CONNECTION_TIME_S
 
     @property
     def late_share(self) -> float:
@@ -69,10 +69,10 @@
 class _Node:
     vm: VmId
     hall: DataHall
-    beliefs: ServerStatuses
+    statuses: ServerStatuses
     board: LoadBoard
     budget: WindowedRetryBudget
-    used: dict[ServerId, float] = field(default_factory=dict)  # when the node last began a stream on each first server
+    last_used_at: dict[ServerId, float] = field(default_factory=dict)  # when it last began a stream, by first server
 
 
 @dataclass
@@ -93,8 +93,8 @@
         nodes: int,
         rate: float,
         seed: int = 1,
-        tells_loads: bool = True,
-        tells_losses: bool = True,
+        reports_loads: bool = True,
+        reports_losses: bool = True,
     ) -> None:
         """Set up a run.
 
@@ -108,8 +108,8 @@
         self.figures = Figures()
         self._engine = engine
         self._rate = rate
-        self._tells_loads = tells_loads
-        self._tells_losses = tells_losses
+        self._reports_loads = reports_loads
+        self._reports_losses = reports_losses
         self._losses = LossBoard(lambda: self.now)  # of the relays
         self._lost: set[ServerId] = set()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
@@ -120,9 +120,9 @@
         self._work: defaultdict[ServerId, _ServerWork] = defaultdict(_ServerWork)
         self._layer_map = LayerMap(engine, self.servers)
         self._schedule(self.random.expovariate(self._rate), self._arrive)
-        if self._tells_loads:
+        if self._reports_loads:
             for node in self._nodes:
-                self._schedule(self.random.uniform(0, TELL_INTERVAL), lambda node=node: self._count_loads(node))  # type: ignore[misc]
+                self._schedule(self.random.uniform(0, REPORT_INTERVAL_S), lambda node=node: self._count_loads(node))  # type: ignore[misc]
 
     def run(self, seconds: float) -> Figures:
         """Play some seconds more of traffic."""
@@ -156,9 +156,9 @@
     def _count_loads(self, node: _Node) -> None:
         """Sum up the loads of all nodes, and report them to a node with a delay."""
         total = {server: ServerLoad(work.leading, work.taken) for server, work in self._work.items() if work.taken > 0}
-        own = node.beliefs.list_loads()
-        self._schedule(WORD_LAG, lambda: node.board.record_total(total, own))
-        self._schedule(TELL_INTERVAL, lambda: self._count_loads(node))
+        own = node.statuses.list_loads()
+        self._schedule(LOAD_REPORT_DELAY_S, lambda: node.board.record_total(total, own))
+        self._schedule(REPORT_INTERVAL_S, lambda: self._count_loads(node))
 
     def _arrive(self) -> None:
         self._schedule(self.random.expovariate(self._rate), self._arrive)
@@ -176,19 +176,19 @@
         for number in range(MAX_TRIES):
             if number and not node.budget.spend():
                 break
-            able = node.beliefs.list_eligible(self.servers, avoided, self.now)
+            eligible = node.statuses.list_eligible(self.servers, avoided, self.now)
             chooser = ChainChooser(
                 layer_map=self._layer_map,
-                statuses=node.beliefs,
+                statuses=node.statuses,
                 node=node.vm,
                 hall=node.hall,
-                share=node.beliefs.estimate_share(len(self._nodes), self.now),
+                share=node.statuses.estimate_share(len(self._nodes), self.now),
                 prompt=prompt,
                 tokens=prompt + self._engine.usual_answer,
                 now=self.now,
-                board=node.board if self._tells_loads else None,
+                board=node.board if self._reports_loads else None,
             )
-            chain = chooser.choose(able)
+            chain = chooser.choose(eligible)
             if chain is None:
                 break
             faulty = next((part for part in chain.parts if self._refuses(part, chooser.tokens)), None)
@@ -198,26 +198,26 @@
             self.figures.refusals += 1
             avoided.add(faulty.server.id)
             fullness = chooser.estimate_server(faulty.server, is_first=faulty is chain.parts[0])
-            node.beliefs[faulty.server.id].record_refusal(self.now, fullness)
-            if self._tells_losses:
-                self._schedule(TELL_TIME, lambda: self._tell_losses(node))
+            node.statuses[faulty.server.id].record_refusal(self.now, fullness)
+            if self._reports_losses:
+                self._schedule(LOSS_REPORT_DELAY_S, lambda: self._report_losses(node))
         self.figures.refused += 1
 
-    def _tell_losses(self, node: _Node) -> None:
+    def _report_losses(self, node: _Node) -> None:
         """Report the losses found by a node to the relays, and the losses confirmed by two nodes to all nodes."""
         before = self._losses.version
-        found = node.beliefs.list_failed(self.now)
+        found = node.statuses.list_failed(self.now)
         self._losses.record_follower(node.vm, {server: Finding(until) for server, until in found.items()}, {})
         if self._losses.version == before:
             return
         confirmed = self._losses.list_confirmed({})
 
-        def adopt() -> None:
+        def record_confirmed() -> None:
             for each in self._nodes:
                 for server, until in confirmed.items():
-                    each.beliefs[server].record_reported_loss(until, self.now)
+                    each.statuses[server].record_reported_loss(until, self.now)
 
-        self._schedule(TELL_TIME, adopt)
+        self._schedule(LOSS_REPORT_DELAY_S, record_confirmed)
 
     def _refuses(self, part: Part, tokens: float) -> bool:
         """Return whether a server is lost, or lacks capacity for a request."""
@@ -226,11 +226,11 @@
 
     def _begin(self, node: _Node, chain: Chain, tokens: float, prompt: float, answer: float) -> None:
         first = self._work[chain.first.id]
-        wait = QUEUE_WAIT if first.leading >= chain.first.slots else 0.0
+        wait = QUEUE_WAIT_S if first.leading >= chain.first.slots else 0.0
         first_event = wait + self._read_prompt(chain, prompt) - self.now
         token_time = sum(self._estimate_step(part) for part in chain.parts)
         self._count_begun(node, chain.first)
-        if first_event > LATE_FIRST or EVENT_TOKENS * token_time > LATE_PAUSE:
+        if first_event > LATE_FIRST_EVENT_S or EVENT_TOKENS * token_time > LATE_PAUSE_S:
             self.figures.late += 1
         self._reserve(node, chain, tokens, 1)
         self._schedule(first_event + answer * token_time, lambda: self._reserve(node, chain, tokens, -1))
@@ -238,17 +238,17 @@
     def _count_begun(self, node: _Node, first: BackendServer) -> None:
         self.figures.begun[first.id] += 1
         self.figures.outside += first.hall != node.hall
-        self.figures.returns += self.now - node.used.get(first.id, float("-inf")) < KEPT_TIME
-        node.used[first.id] = self.now
+        self.figures.returns += self.now - node.last_used_at.get(first.id, float("-inf")) < IDLE_CONNECTION_TIME_S
+        node.last_used_at[first.id] = self.now
 
     def _read_prompt(self, chain: Chain, prompt: float) -> float:
         """Read a prompt on all servers of a chain in turn; return the time at which it has been read."""
         at = self.now
         for part in chain.parts:
             work = self._work[part.server.id]
-            factor = max(1.0, READ_FACTOR * self._engine.kinds[part.server.kind or ""].step_factor)
+            factor = max(1.0, READ_TIME_FACTOR * self._engine.kinds[part.server.kind or ""].step_factor)
             share = (part.end - part.first) / self._engine.layers
-            at = work.reads_until = max(at, work.reads_until) + prompt * factor * share / READ_RATE
+            at = work.reads_until = max(at, work.reads_until) + prompt * factor * share / READ_RATE_TOKENS_PER_S
         return at
 
     def _estimate_step(self, part: Part) -> float:
@@ -259,12 +259,12 @@
 
     def _reserve(self, node: _Node, chain: Chain, tokens: float, sign: int) -> None:
         for part in chain.parts:
-            belief = node.beliefs[part.server.id]
+            status = node.statuses[part.server.id]
             work = self._work[part.server.id]
             is_first = part is chain.parts[0]
             amount = sign * tokens * (part.end - part.first)
-            belief.in_progress += sign
-            belief.leading += sign * is_first
-            belief.reserved += amount
+            status.in_progress += sign
+            status.leading += sign * is_first
+            status.reserved += amount
             work.leading += sign * is_first
             work.taken += amount
