--- a/tests/rig/trafficjudge.py
+++ b/tests/rig/trafficjudge.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-SHORT_SILENCE = 1.0  # seconds; servers that are unresponsive for less than this may not cut a stream
-JOINED = 0.2  # seconds; a node that probes periodically may get no response within a shorter gap between two silences
-SOUND_TIME = 3.0  # seconds before a request; faults of its node and servers count from then on
-OUTAGE = 3.0  # seconds; after a longer outage of the store the API keys may be too old for a retry
+SHORT_SILENCE_S = 1.0  # seconds; servers that are unresponsive for less than this may not cut a stream
+MERGE_GAP_S = 0.2  # seconds; a periodic probe may get no response within a shorter gap between two silences
+HEALTHY_TIME_S = 3.0  # seconds before a request; faults of its node and servers count from then on
+LONG_OUTAGE_S = 3.0  # seconds; after a longer outage of the store the API keys may be too old for a retry
 
 
 class Span(NamedTuple):
@@ -20,7 +20,7 @@
     start: float
     end: float
 
-    def meets(self, other: Span) -> bool:
+    def overlaps(self, other: Span) -> bool:
         return self.start <= other.end and other.start <= self.end
 
 
@@ -55,36 +55,40 @@
         :param servers: addresses of all servers that the stream used.
         """
         servers = set(servers)
-        looked_at = Span(cut.sent_at - SOUND_TIME, cut.cut_at)
-        if any(span.meets(looked_at) for span in self.nodes[cut.node]):
+        relevant = Span(cut.sent_at - HEALTHY_TIME_S, cut.cut_at)
+        if any(span.overlaps(relevant) for span in self.nodes[cut.node]):
             return "node killed or frozen"
-        if any(span.end - span.start >= OUTAGE and span.meets(looked_at) for span in self.stores[cut.node]):
+        if any(span.end - span.start >= LONG_OUTAGE_S and span.overlaps(relevant) for span in self.stores[cut.node]):
             return "store long out of reach"
         if any(self.lost_at.get(server, cut.cut_at) < cut.cut_at for server in servers):
             return "server ended"
-        stalls = join(self.stalls[cut.node])
-        if any(span.end - span.start >= SHORT_SILENCE and span.meets(looked_at) for span in stalls):
+        stalls = merge_spans(self.stalls[cut.node])
+        if any(span.end - span.start >= SHORT_SILENCE_S and span.overlaps(relevant) for span in stalls):
             return "node without a processor"
-        spans = [*self.pauses, *self.waits.get(cut.node, ()), *(one for each in servers for one in self.silences[each])]
-        if any(span.end - span.start >= SHORT_SILENCE and span.meets(looked_at) for span in join(spans)):
+        spans = [
+            *self.pauses,
+            *self.waits.get(cut.node, ()),
+            *(span for server in servers for span in self.silences[server]),
+        ]
+        if any(span.end - span.start >= SHORT_SILENCE_S and span.overlaps(relevant) for span in merge_spans(spans)):
             return "long silence"
         return None
 
 
-def join(spans: Iterable[Span]) -> list[Span]:
-    """Merge spans that overlap or are less than JOINED apart."""
-    joined: list[Span] = []
+def merge_spans(spans: Iterable[Span]) -> list[Span]:
+    """Merge spans that overlap or are less than MERGE_GAP_S apart."""
+    merged: list[Span] = []
     for span in sorted(spans):
-        if joined and span.start - joined[-1].end < JOINED:
-            joined[-1] = Span(joined[-1].start, max(joined[-1].end, span.end))
+        if merged and span.start - merged[-1].end < MERGE_GAP_S:
+            merged[-1] = Span(merged[-1].start, max(merged[-1].end, span.end))
         else:
-            joined.append(span)
-    return joined
+            merged.append(span)
+    return merged
 
 
 def find_pauses(times: Iterable[float], limit: float) -> list[Span]:
     """Return the gaps of at least `limit` seconds between consecutive readings of the clock."""
-    return [Span(one, other) for one, other in itertools.pairwise(times) if other - one >= limit]
+    return [Span(start, end) for start, end in itertools.pairwise(times) if end - start >= limit]
 
 
-__all__ = ["Cut", "Span", "Troubles", "find_pauses", "join"]
+__all__ = ["Cut", "Span", "Troubles", "find_pauses", "merge_spans"]
--- a/tests/rig/trafficsoak.py
+++ b/tests/rig/trafficsoak.py
@@ -56,7 +56,7 @@
         """Return whether a node was killed, frozen or restarted within a time span."""
         number = next(index for index in range(NODES) if get_address(index) == address)
         spans = [*self.findings.by_whom.nodes[number], *self.findings.restarts[number]]
-        return any(span.meets(Span(start, end)) for span in spans)
+        return any(span.overlaps(Span(start, end)) for span in spans)
 
     async def _look_at_the_clock(self) -> None:
         waits = [0.0] * NODES
--- a/tests/system/platform/test_judge.py
+++ b/tests/system/platform/test_judge.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from rig.trafficjudge import Cut, Span, Troubles, find_pauses, join
+from rig.trafficjudge import Cut, Span, Troubles, find_pauses, merge_spans
 
 CUT = Cut("request", "/letter/1", 0, "", 10.0, 11.0)
 SERVERS = ["first", "second"]
@@ -62,7 +62,7 @@
 
 
 def test_spans_that_nearly_touch_are_joined() -> None:
-    assert join([Span(2.0, 3.0), Span(0.0, 1.0), Span(1.1, 1.5)]) == [Span(0.0, 1.5), Span(2.0, 3.0)]
+    assert merge_spans([Span(2.0, 3.0), Span(0.0, 1.0), Span(1.1, 1.5)]) == [Span(0.0, 1.5), Span(2.0, 3.0)]
 
 
 def test_pause_is_where_the_clock_stood_still() -> None:
