--- a/tests/core/traffic/test_fleetload.py
+++ b/tests/core/traffic/test_fleetload.py
@@ -51,7 +51,7 @@
     assert peak < 3.0
 
 
-@pytest.mark.parametrize("tells_loads", [True, False], ids=["sum over all nodes", "own load times the nodes"])
+@pytest.mark.parametrize("reports_loads", [True, False], ids=["sum over all nodes", "own load times the nodes"])
 def test_best_chain_of_all_is_chosen_by_too_many_nodes(
     monkeypatch: pytest.MonkeyPatch,
     reports_loads: bool,  # noqa: FBT001 # a parameter of the test
