--- a/tests/rig/fleetmodel.py
+++ b/tests/rig/fleetmodel.py
@@ -99,8 +99,8 @@
         """Set up a run.
 
         :param rate: streams per second over all nodes; nodes get unequal shares.
-        :param tells_loads: whether nodes learn the loads that other nodes cause.
-        :param tells_losses: whether nodes learn which servers other nodes have found lost.
+        :param reports_loads: whether nodes learn the loads that other nodes cause.
+        :param reports_losses: whether nodes learn which servers other nodes have found lost.
         """
         self.random = random.Random(seed)
         self.now = 0.0
--- a/tests/rig/soakclients.py
+++ b/tests/rig/soakclients.py
@@ -17,9 +17,9 @@
 
 NODES = 5
 TOKENS = 30
-KEYS_TIME = 5.0  # seconds from the removal of a key to the last request accepted with it
-DRAIN_TIME = 2.0  # seconds from the announcement that a server leaves to its last new request
-SLACK = 0.5  # seconds of tolerance for busy machines
+KEY_REMOVAL_TIME_S = 5.0  # seconds from the removal of a key to the last request accepted with it
+DRAIN_TIME_S = 2.0  # seconds from the announcement that a server leaves to its last new request
+SLACK_S = 0.5  # seconds of tolerance for busy machines
 NEVER = float("inf")
 STREAMS = ("/letter/1", "/letter/1", "/notice/1")
 PLAIN = ("/once/1", "/check/1")
@@ -31,13 +31,13 @@
 
     counts: Counter[str] = field(default_factory=Counter)
     faults: list[str] = field(default_factory=list)
-    refused: set[str] = field(default_factory=set)  # requests answered with 429 or 503, that is, not run
-    once: set[str] = field(default_factory=set)  # requests that must not run twice
+    not_run: set[str] = field(default_factory=set)  # requests answered with 429 or 503, that is, not run
+    run_once: set[str] = field(default_factory=set)  # requests that must not run twice
     left_at: dict[str, float] = field(default_factory=dict)  # when each server announced that it leaves
-    troubles: list[tuple[float, float]] = field(default_factory=list)  # start and end of faults of nodes and the store
-    cuts: list[Cut] = field(default_factory=list)  # of streams whose response had begun
-    stopped: list[Cut] = field(default_factory=list)  # of requests that were in progress at a planned stop
-    by_whom: Troubles = field(default_factory=Troubles)
+    trouble_spans: list[tuple[float, float]] = field(default_factory=list)  # of nodes and the store
+    cut_streams: list[Cut] = field(default_factory=list)  # whose response had begun
+    cut_by_stops: list[Cut] = field(default_factory=list)  # requests in progress at a planned stop that were cut
+    troubles_by_source: Troubles = field(default_factory=Troubles)
     restarts: defaultdict[int, list[Span]] = field(default_factory=lambda: defaultdict(list))  # planned ones, by node
 
 
@@ -49,14 +49,14 @@
         self.findings = Findings()
         self._until = time.monotonic() + seconds
         self._seed = seed
-        self._planned = anyio.Lock()  # a planned stop and other faults exclude each other
-        self._busy: set[int] = set()  # numbers of nodes that have a fault
+        self._fault_lock = anyio.Lock()  # a planned stop and other faults exclude each other
+        self._faulty_nodes: set[int] = set()  # numbers of nodes that have a fault
         self._version = 1
-        self._more: list[dict[str, Any]] = []  # additional routes that make the configuration long
-        self._silent: Counter[str] = Counter()  # number of faults that make a server unresponsive, by address
-        self._looks: list[float] = []  # readings of the monotonic clock
+        self._extra_routes: list[dict[str, Any]] = []  # additional routes that make the configuration long
+        self._silence_counts: Counter[str] = Counter()  # number of faults that make a server unresponsive, by address
+        self._clock_readings: list[float] = []  # readings of the monotonic clock
         self._keys: dict[str, float] = {KEY: NEVER}  # API keys and when each was removed
-        self._seen: defaultdict[tuple[int, int], int] = defaultdict(int)  # latest version used, by node and process id
+        self._used_versions: defaultdict[tuple[int, int], int] = defaultdict(int)  # latest, by node and process id
 
     async def _ask(
         self, path: str, node: int, key: str = KEY, *, through_a_stop: bool = False
@@ -73,15 +73,15 @@
             has_begun = answer is not None and answer.status_code == httpx.codes.OK
             cut = Cut(request, path, node, repr(error), sent, time.monotonic())
             if has_begun and path in STREAMS:
-                self.findings.cuts.append(cut)
+                self.findings.cut_streams.append(cut)
             if through_a_stop:
-                self.findings.stopped.append(cut)
+                self.findings.cut_by_stops.append(cut)
             return request, None
         self.findings.counts[f"{path.split('/')[1]} {answer.status_code}"] += 1
         if answer.status_code == httpx.codes.BAD_REQUEST:
             self.findings.faults.append(f"{request} was rejected as a bad request: {answer.text}")
         if answer.status_code in {429, 503}:
-            self.findings.refused.add(request)
+            self.findings.not_run.add(request)
             if "retry-after" not in answer.headers:
                 self.findings.faults.append("a refusal has no Retry-After header")
         return request, answer
@@ -90,7 +90,7 @@
         path = rng.choice(STREAMS)
         request, answer = await self._ask(path, rng.randrange(NODES))
         if "notice" in path:
-            self.findings.once.add(request)
+            self.findings.run_once.add(request)
         if answer is None or answer.status_code != httpx.codes.OK:
             await anyio.sleep(0.05)
             return
@@ -104,14 +104,14 @@
         sent = time.monotonic()
         request, answer = await self._ask(path, rng.randrange(NODES), key)
         if "once" in path:
-            self.findings.once.add(request)
+            self.findings.run_once.add(request)
         if answer is None:
             return
         if answer.status_code == httpx.codes.OK and answer.content != b"answer to " + request.encode():
             self.findings.faults.append(f"the answer to {request} is {answer.content!r}")
-        if answer.status_code == httpx.codes.OK and sent > self._keys[key] + KEYS_TIME:
+        if answer.status_code == httpx.codes.OK and sent > self._keys[key] + KEY_REMOVAL_TIME_S:
             self.findings.faults.append(f"a key was accepted {sent - self._keys[key]:.2f} s after its removal")
         await anyio.sleep(rng.uniform(0.0, 0.1))
 
 
-__all__ = ["DRAIN_TIME", "NEVER", "NODES", "SLACK", "STREAMS", "TOKENS", "Findings", "SoakClients"]
+__all__ = ["DRAIN_TIME_S", "NEVER", "NODES", "SLACK_S", "STREAMS", "TOKENS", "Findings", "SoakClients"]
--- a/tests/rig/trafficsoak.py
+++ b/tests/rig/trafficsoak.py
@@ -17,16 +17,16 @@
 import httpx
 
 from rig.directivejudge import find_breaches
-from rig.soakclients import DRAIN_TIME, NEVER, NODES, SLACK, TOKENS, Findings
+from rig.soakclients import DRAIN_TIME_S, NEVER, NODES, SLACK_S, TOKENS, Findings
 from rig.soakfaults import SoakFaults
 from rig.traffic import assert_layers_once_in_order, get_address, open_traffic
 from rig.trafficjudge import Cut, Span, find_pauses
 
-CONTACT_TIME = 3.0  # seconds after the end of a fault; the time bounds hold again from then on
-RECOVERY_TIME = 12.0  # seconds after the last fault; then every node must serve again
-LINK_RATE = 2_500_000.0  # bytes a second, 20 Mbit/s, as small nodes have
-LOOK_GAP = 0.05  # seconds between readings of the clock
-PAUSE = 0.2  # seconds; a longer gap between readings means that this process did not run
+SETTLING_TIME_S = 3.0  # seconds after the end of a fault; the time bounds hold again from then on
+RECOVERY_TIME_S = 12.0  # seconds after the last fault; then every node must serve again
+LINK_RATE_BYTES_PER_S = 2_500_000.0  # 20 Mbit/s, as small nodes have
+CLOCK_READ_INTERVAL_S = 0.05  # seconds between readings of the clock
+PAUSE_S = 0.2  # seconds; a longer gap between readings means that this process did not run
 
 
 class TrafficSoak(SoakFaults):
@@ -42,7 +42,7 @@
         clients = [self._ask_stream] * 6 + [self._ask_plain] * 4
         faults = self.list_faults()
         async with anyio.create_task_group() as watch:
-            watch.start_soon(self._look_at_the_clock)
+            watch.start_soon(self._watch_clock)
             async with anyio.create_task_group() as tasks:
                 for index, step in enumerate([*clients, *faults]):
                     tasks.start_soon(self._repeat, step, random.Random(f"{self._seed} {index}"))
@@ -55,20 +55,20 @@
     def _was_interrupted(self, address: str, start: float, end: float) -> bool:
         """Return whether a node was killed, frozen or restarted within a time span."""
         number = next(index for index in range(NODES) if get_address(index) == address)
-        spans = [*self.findings.by_whom.nodes[number], *self.findings.restarts[number]]
+        spans = [*self.findings.troubles_by_source.nodes[number], *self.findings.restarts[number]]
         return any(span.overlaps(Span(start, end)) for span in spans)
 
-    async def _look_at_the_clock(self) -> None:
+    async def _watch_clock(self) -> None:
         waits = [0.0] * NODES
         while True:
-            self._looks.append(time.monotonic())
+            self._clock_readings.append(time.monotonic())
             for number, node in enumerate(self.traffic.nodes):
                 waited = node.process.read_run_delay()
-                if waited - waits[number] >= PAUSE:
+                if waited - waits[number] >= PAUSE_S:
                     now = time.monotonic()
-                    self.findings.by_whom.stalls[number].append(Span(now - (waited - waits[number]), now))
+                    self.findings.troubles_by_source.stalls[number].append(Span(now - (waited - waits[number]), now))
                 waits[number] = waited
-            await anyio.sleep(LOOK_GAP)
+            await anyio.sleep(CLOCK_READ_INTERVAL_S)
 
     async def _repeat(self, step: Callable[[random.Random], Awaitable[None]], rng: random.Random) -> None:
         while time.monotonic() < self._until:
@@ -80,7 +80,7 @@
     async def _check_recovery(self) -> None:
         for node in self.traffic.nodes:
             node.process.send(signal.SIGCONT)
-        await anyio.sleep(RECOVERY_TIME)
+        await anyio.sleep(RECOVERY_TIME_S)
         for number, node in enumerate(self.traffic.nodes):
             if node.process.popen.poll() is not None:
                 self.findings.faults.append(f"node {number} exited with status {node.process.popen.returncode}")
@@ -88,21 +88,25 @@
             for path in ("/letter/1", "/check/1"):
                 _, answer = await self._ask(path, number)
                 if answer is None or answer.status_code != httpx.codes.OK:
-                    told = answer.text if answer is not None else "cut"
-                    self.findings.faults.append(f"node {number} has not recovered: {path} {told}")
+                    details = answer.text if answer is not None else "cut"
+                    self.findings.faults.append(f"node {number} has not recovered: {path} {details}")
 
     def _check_runs(self) -> None:
         fleet, findings = self.traffic.fleet, self.findings
         runs = Counter(run.request for run in fleet.runs)
-        findings.faults += [f"{one} ran {runs[one]} times" for one in findings.once if runs[one] > 1]
-        findings.faults += [f"{one} was refused as not run, but it ran" for one in findings.refused if runs[one]]
+        findings.faults += [
+            f"{request} ran {runs[request]} times" for request in findings.run_once if runs[request] > 1
+        ]
+        findings.faults += [
+            f"{request} was refused as not run, but it ran" for request in findings.not_run if runs[request]
+        ]
         try:
             assert_layers_once_in_order(fleet)
         except AssertionError as error:
             findings.faults.append(str(error))
         for run in fleet.runs:
             late = run.started - findings.left_at.get(run.server, NEVER)
-            if late > DRAIN_TIME + SLACK and not self._was_troubled(run.started):
+            if late > DRAIN_TIME_S + SLACK_S and not self._was_disturbed(run.started):
                 findings.faults.append(
                     f"{run.request} reached {run.server} {late:.2f} s after it announced its leaving"
                 )
@@ -111,40 +115,42 @@
         """Check that no stream was cut after its response had begun while its node and servers were healthy."""
         findings, fleet = self.findings, self.traffic.fleet
         links = [node.link for node in self.traffic.nodes]
-        findings.by_whom.waits = {
+        findings.troubles_by_source.waits = {
             number: [Span(*wait) for wait in link.waits] for number, link in enumerate(links) if link is not None
         }
-        findings.by_whom.pauses = find_pauses(self._looks, PAUSE)
-        for cut in findings.cuts:
+        findings.troubles_by_source.pauses = find_pauses(self._clock_readings, PAUSE_S)
+        for cut in findings.cut_streams:
             chains = [chain for run in fleet.find_runs(cut.request) for chain in run.chains]
-            excuse = findings.by_whom.find_excuse(cut, {part.address for chain in chains for part in chain})
+            excuse = findings.troubles_by_source.find_excuse(cut, {part.address for chain in chains for part in chain})
             findings.counts[f"begun and cut: {excuse or 'no excuse'}"] += 1
             if excuse is None:
                 findings.faults.append(self._describe_cut(cut))
-        judged = {cut.request for cut in findings.cuts}  # those whose response had begun were checked above
-        for cut in findings.stopped:
+        judged = {cut.request for cut in findings.cut_streams}  # those whose response had begun were checked above
+        for cut in findings.cut_by_stops:
             if cut.request not in judged:
                 findings.faults.append(f"a planned stop cut a stream: {self._describe_cut(cut)}")
 
     def _describe_cut(self, cut: Cut) -> str:
         lines = (line for line in self.traffic.nodes[cut.node].read_log() if line.get("request") == cut.request)
         ended = next((line for line in lines if "steps" in line), None)
-        told = f"{ended['ending']}, {ended['events']} events, {ended['steps']}" if ended else "not in the node's log"
+        details = f"{ended['ending']}, {ended['events']} events, {ended['steps']}" if ended else "not in the node's log"
         servers = {
-            part.address for run in self.traffic.fleet.find_runs(cut.request) for one in run.chains for part in one
+            part.address for run in self.traffic.fleet.find_runs(cut.request) for chain in run.chains for part in chain
         }
-        excuse = self.findings.by_whom.find_excuse(cut, servers) or "no excuse"
+        excuse = self.findings.troubles_by_source.find_excuse(cut, servers) or "no excuse"
         took = cut.cut_at - cut.sent_at
-        return f"{cut.path} {cut.request} of node {cut.node} cut after {took:.2f} s, {cut.cause}, {excuse}: {told}"
+        return f"{cut.path} {cut.request} of node {cut.node} cut after {took:.2f} s, {cut.cause}, {excuse}: {details}"
 
-    def _was_troubled(self, at: float) -> bool:
+    def _was_disturbed(self, at: float) -> bool:
         """Return whether a node or the store had a fault shortly before a time."""
-        return any(began <= at and ended >= at - DRAIN_TIME - CONTACT_TIME for began, ended in self.findings.troubles)
+        return any(
+            began <= at and ended >= at - DRAIN_TIME_S - SETTLING_TIME_S for began, ended in self.findings.trouble_spans
+        )
 
 
 async def run_traffic_soak(folder: Path, seconds: float, seed: int, kind: type[TrafficSoak] = TrafficSoak) -> Findings:
     """Run one seed and return the findings."""
-    async with open_traffic(folder, nodes=NODES, link_rate=LINK_RATE) as traffic:
+    async with open_traffic(folder, nodes=NODES, link_rate=LINK_RATE_BYTES_PER_S) as traffic:
         soak = kind(traffic, seconds, seed)
         await soak.run()
         return soak.findings
