--- a/tests/rig/checks.py
+++ b/tests/rig/checks.py
@@ -16,8 +16,8 @@
     on another server. The first run has no effect on any answer, so a second run is a fault on the same server only.
     """
     faults: list[str] = []
-    covered: defaultdict[tuple[str, int], Counter[int]] = defaultdict(Counter)
-    newest: dict[str, int] = {}  # position at which the latest step of each session starts; that step may be incomplete
+    runs_by_layer: defaultdict[tuple[str, int], Counter[int]] = defaultdict(Counter)
+    latest_starts: dict[str, int] = {}  # position at which the latest step starts, which may be incomplete; by session
     for server, entries in journals.items():
         next_position: dict[str, int] = {}
         for entry in entries:
@@ -32,9 +32,9 @@
                     next_position[entry["session"]] = entry["held"]
                 case "run":
                     faults.extend(_check_order(server, entry, next_position))
-                    _cover(entry, covered)
-                    newest[entry["session"]] = max(newest.get(entry["session"], 0), entry["position"])
-    faults.extend(_check_cover(covered, newest, layers))
+                    _record_layers(entry, runs_by_layer)
+                    latest_starts[entry["session"]] = max(latest_starts.get(entry["session"], 0), entry["position"])
+    faults.extend(_check_coverage(runs_by_layer, latest_starts, layers))
     return faults
 
 
@@ -49,18 +49,18 @@
     next_position[session] = end
 
 
-def _cover(entry: Mapping[str, Any], covered: defaultdict[tuple[str, int], Counter[int]]) -> None:
+def _record_layers(entry: Mapping[str, Any], runs_by_layer: defaultdict[tuple[str, int], Counter[int]]) -> None:
     for position in range(entry["position"], entry["position"] + entry["count"]):
-        covered[entry["session"], position].update(range(entry["first"], entry["end"]))
+        runs_by_layer[entry["session"], position].update(range(entry["first"], entry["end"]))
 
 
-def _check_cover(
-    covered: Mapping[tuple[str, int], Counter[int]], newest: Mapping[str, int], layers: int
+def _check_coverage(
+    runs_by_layer: Mapping[tuple[str, int], Counter[int]], latest_starts: Mapping[str, int], layers: int
 ) -> Iterable[str]:
     """Check that positions before the latest step of a session ran through every layer."""
-    for (session, position), counted in covered.items():
-        if position < newest[session] and set(counted) != set(range(layers)):
-            yield f"{session}: position {position} ran on layers {sorted(counted)} only"
+    for (session, position), layer_runs in runs_by_layer.items():
+        if position < latest_starts[session] and set(layer_runs) != set(range(layers)):
+            yield f"{session}: position {position} ran on layers {sorted(layer_runs)} only"
 
 
 __all__ = ["find_faults"]
--- a/tests/rig/installation.py
+++ b/tests/rig/installation.py
@@ -29,7 +29,7 @@
 PIPELINE = "ledgerlm"
 LAYERS = 12
 CHAT_PATH = "/v1/chat/completions"
-TIMEOUT = 60.0
+CLIENT_TIMEOUT_S = 60.0
 
 
 class Stream:
@@ -41,8 +41,8 @@
         self.resumes: int = resumed.resumes + 1 if resumed else 0
         self.is_whole = False
         self.error = ""
-        self.newest_id: str = resumed.newest_id if resumed else ""
-        self._coming_id = self.newest_id
+        self.last_event_id: str = resumed.last_event_id if resumed else ""
+        self._pending_id = self.last_event_id
         self._lines = response.iter_lines()
 
     @property
@@ -52,21 +52,21 @@
 
     def read(self, events: int | None = None) -> str:
         """Read a number of events (all remaining ones by default), and return the complete text so far."""
-        taken = 0
-        while events is None or taken < events:
+        count = 0
+        while events is None or count < events:
             line = next(self._lines, None)
             if line is None:
                 break
             if line.startswith("id: "):
-                self._coming_id = line.removeprefix("id: ")
+                self._pending_id = line.removeprefix("id: ")
             if not line.startswith("data: "):
                 continue
-            taken += 1
-            self._take(line.removeprefix("data: "))
-            self.newest_id = self._coming_id  # as in the SSE standard: an id counts once its event is complete
+            count += 1
+            self._read_event(line.removeprefix("data: "))
+            self.last_event_id = self._pending_id  # as in the SSE standard: an id counts once its event is complete
         return self.text
 
-    def _take(self, data: str) -> None:
+    def _read_event(self, data: str) -> None:
         if data == "[DONE]":
             self.is_whole = True
             return
@@ -86,7 +86,7 @@
         self.ports: dict[str, int] = {}
         self.nodes: list[str] = []
         self._starting: list[str] = []  # probe URLs of processes that may not answer yet
-        self.client = httpx.Client(timeout=TIMEOUT)
+        self.client = httpx.Client(timeout=CLIENT_TIMEOUT_S)
         self.declared: dict[str, Any] = {
             "classes": [{"name": "portal", "priority": 0}, {"name": "batch", "priority": 5}],
             "customers": [self.describe_customer("osborne-finance", CUSTOMER_KEY, "portal")],
@@ -267,7 +267,7 @@
         """Open a streamed answer that the test reads in parts, or resume one that was cut."""
         url = self.url(node or self.nodes[0]) + CHAT_PATH
         body = make_chat(text, stream=True, **fields)
-        others = {"Last-Event-ID": resume.newest_id} if resume else {}
+        others = {"Last-Event-ID": resume.last_event_id} if resume else {}
         with self.client.stream("POST", url, json=body, headers=caller_headers(**others)) as response:
             yield Stream(response, resume)
 
--- a/tests/rig/processes.py
+++ b/tests/rig/processes.py
@@ -13,10 +13,10 @@
 import httpx
 
 TESTS = Path(__file__).parents[1]
-START_TIMEOUT = 30.0  # seconds; generous, for busy machines
+START_TIMEOUT_S = 30.0  # seconds; generous, for busy machines
 
 
-def wait_until(condition: Callable[[], bool], timeout: float = START_TIMEOUT, interval: float = 0.02) -> None:
+def wait_until(condition: Callable[[], bool], timeout: float = START_TIMEOUT_S, interval: float = 0.02) -> None:
     until = time.monotonic() + timeout
     while not condition():
         if time.monotonic() > until:
--- a/tests/rig/soak.py
+++ b/tests/rig/soak.py
@@ -22,11 +22,11 @@
 from rig.installation import CHAT_PATH, LAYERS, Installation, Stream, caller_headers, expect_text, make_chat
 from rig.processes import wait_until
 
-RANGES = ((0, 4), (4, 8), (8, LAYERS))
+LAYER_RANGES = ((0, 4), (4, 8), (8, LAYERS))
 CALLERS = 6
 MAX_TOKENS = 120
-MAX_CONNECTIONS = 200  # for one answer
-CUT = (httpx.TransportError, httpx.StreamError)
+MAX_CONNECTIONS_PER_ANSWER = 200
+CUT_ERRORS = (httpx.TransportError, httpx.StreamError)
 
 
 @dataclass
@@ -35,8 +35,8 @@
 
     counts: Counter[str] = field(default_factory=Counter)
     faults: list[str] = field(default_factory=list)
-    refused_keys: set[str] = field(default_factory=set)  # at least one try was answered with "not run"
-    run_keys: set[str] = field(default_factory=set)  # at least one try had another outcome
+    not_run_keys: set[str] = field(default_factory=set)  # at least one try was answered with "not run"
+    possibly_run_keys: set[str] = field(default_factory=set)  # at least one try had another outcome
 
 
 class Soak:
@@ -53,7 +53,7 @@
     def start(self) -> None:
         installation = self.installation
         installation.start_platform(vm_list_lag=1.0)
-        for first, end in RANGES:
+        for first, end in LAYER_RANGES:
             for letter in "abc":
                 installation.start_engine(f"runner-{first}{letter}", first, end, "--iteration-seconds", "0.004")
         for index in range(3):
@@ -62,12 +62,12 @@
         installation.apply_everywhere()
 
     def run(self) -> None:
-        work: list[Callable[[random.Random], None]] = []
-        work += [self.chat] * CALLERS + [self.post] * 2
-        work += [self.fail_engine, self.fail_node, self.fail_store, self.change, self.watch]
+        steps: list[Callable[[random.Random], None]] = []
+        steps += [self.chat] * CALLERS + [self.post] * 2
+        steps += [self.fail_engine, self.fail_node, self.fail_store, self.change, self.watch]
         threads = [
             threading.Thread(target=self._repeat, args=(step, random.Random(f"{self.seed} {index}")))
-            for index, step in enumerate(work)
+            for index, step in enumerate(steps)
         ]
         for thread in threads:
             thread.start()
@@ -94,20 +94,20 @@
     def _follow_answer(self, rng: random.Random, body: dict[str, Any]) -> Stream | None:
         """Read an answer, resuming it on other nodes when cut; None if it was refused or cut before its first token."""
         stream: Stream | None = None
-        for _ in range(MAX_CONNECTIONS):
+        for _ in range(MAX_CONNECTIONS_PER_ANSWER):
             node = rng.choice(self.installation.nodes)
             url = self.installation.url(node) + CHAT_PATH
-            others = {"Last-Event-ID": stream.newest_id} if stream else {}
+            extra = {"Last-Event-ID": stream.last_event_id} if stream else {}
             try:
-                with httpx.stream("POST", url, json=body, headers=caller_headers(**others), timeout=90) as response:
+                with httpx.stream("POST", url, json=body, headers=caller_headers(**extra), timeout=90) as response:
                     if response.is_success:
                         stream = Stream(response, stream)
                         stream.read()
                         return stream
                     error = msgspec.json.decode(response.read())["error"]
-            except CUT:
+            except CUT_ERRORS:
                 self.findings.counts["chat: node gone"] += 1
-                if stream is None or not stream.newest_id:
+                if stream is None or not stream.last_event_id:
                     return None
                 continue
             self.findings.counts[f"chat: {error['code']} {error['run']}"] += 1
@@ -133,18 +133,18 @@
             headers = caller_headers(**{"Idempotency-Key": key, "Vaneturn-Timeout": "5"})
             try:
                 response = httpx.post(url, content=b"reminder", headers=headers, timeout=30)
-            except CUT:
-                self.findings.run_keys.add(key)
+            except CUT_ERRORS:
+                self.findings.possibly_run_keys.add(key)
                 self.findings.counts["post: node gone"] += 1
                 continue
             run = "run" if response.is_success else response.json()["error"]["run"]
             self.findings.counts[f"post: {run}"] += 1
-            (self.findings.refused_keys if run == "not_run" else self.findings.run_keys).add(key)
+            (self.findings.not_run_keys if run == "not_run" else self.findings.possibly_run_keys).add(key)
 
     # failures
 
     def fail_engine(self, rng: random.Random) -> None:
-        first, end = rng.choice(RANGES)
+        first, end = rng.choice(LAYER_RANGES)
         name = f"runner-{first}{rng.choice('abc')}"
         kind = rng.choice(["kill", "freeze", "leave", "replies", "delay"])
         self.findings.counts[f"fault: engine {kind}"] += 1
@@ -216,7 +216,7 @@
         node = rng.choice(self.installation.nodes)
         try:
             response = self.installation.apply(node, change=f"change-{rng.randrange(10**9)}")
-        except CUT:
+        except CUT_ERRORS:
             self.findings.counts["change: node gone"] += 1
             return
         self.findings.counts[f"change: {response.json()['result']}"] += 1
@@ -227,7 +227,7 @@
         for node in self.installation.nodes:
             try:
                 state = self.installation.show_state(node)
-            except CUT:
+            except CUT_ERRORS:
                 continue
             if state["revision"] < self.revisions[state["node"]]:
                 self.findings.faults.append(f"{node} went back to revision {state['revision']}")
@@ -246,8 +246,8 @@
         desks = [entry for index in range(3) for entry in installation.read_journal(f"desk-{index}")]
         calls = Counter(entry["key"] for entry in desks if entry["method"] == "POST")
         faults += [f"{key} ran {count} times" for key, count in calls.items() if count > 1]
-        never_run = self.findings.refused_keys - self.findings.run_keys
-        faults += [f"{key} was refused as not run, but it ran" for key in never_run if key in calls]
+        certainly_not_run = self.findings.not_run_keys - self.findings.possibly_run_keys
+        faults += [f"{key} was refused as not run, but it ran" for key in certainly_not_run if key in calls]
         return faults
 
     def _judge_convergence(self) -> list[str]:
--- a/tests/rig/traffic.py
+++ b/tests/rig/traffic.py
@@ -22,7 +22,7 @@
 from standins.platform.servers import Fleet, Server, open_fleet
 from standins.relay import Path as NetworkPath
 
-ACCEPT_TIME = 0.02  # seconds for the stand-ins to accept the last connections of nodes that have ended
+ACCEPT_TIME_S = 0.02  # seconds for the stand-ins to accept the last connections of nodes that have ended
 START_TIME = 20.0  # seconds; generous, for busy machines
 
 
@@ -116,14 +116,14 @@
 
     async def start_node(self, link: Link | None = None) -> Node:
         client_port, readiness_port, metrics_port, peer_port = (find_port() for _ in range(4))
-        door = find_port()
-        await self.fleet.store.listen(f"127.0.0.1:{door}", self.fleet.tasks, lambda _: link)
+        store_port = find_port()
+        await self.fleet.store.listen(f"127.0.0.1:{store_port}", self.fleet.tasks, lambda _: link)
         if link is not None:
             self.fleet.tasks.start_soon(link.run)
-        store_path, way_port = NetworkPath(door), find_port()
-        listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=way_port)
+        store_path, path_port = NetworkPath(store_port), find_port()
+        listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=path_port)
         self.fleet.tasks.start_soon(listener.serve, store_path.forward)
-        store_address = f"127.0.0.1:{way_port}"
+        store_address = f"127.0.0.1:{path_port}"
         name = f"entry-{len(self.nodes) + 1}"
         settings = {
             "vm": name,
@@ -176,7 +176,7 @@
         return self._build(path, method, node, b"letter", headers)
 
     def _build(self, path: str, method: str, node: int, body: bytes, headers: dict[str, str]) -> httpx.Request:
-        sent = {
+        all_headers = {
             "Host": HOST,
             "X-Request-Id": f"request-{next(self._numbers)}",
             "X-Deadline-Ms": "5000",
@@ -186,7 +186,7 @@
             **{name.replace("_", "-"): value for name, value in headers.items()},
         }
         url = f"http://127.0.0.1:{self.nodes[node].client_port}{path}"
-        return self.client.build_request(method, url, headers={k: v for k, v in sent.items() if v}, content=body)
+        return self.client.build_request(method, url, headers={k: v for k, v in all_headers.items() if v}, content=body)
 
 
 @asynccontextmanager
@@ -209,7 +209,7 @@
         finally:
             for node in traffic.nodes:
                 node.process.end()
-            await anyio.sleep(ACCEPT_TIME)
+            await anyio.sleep(ACCEPT_TIME_S)
 
 
 __all__ = [
--- a/tests/rig/virtualtime.py
+++ b/tests/rig/virtualtime.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 
-class _JumpingSelector(selectors.DefaultSelector):
+class _VirtualTimeSelector(selectors.DefaultSelector):
     """Polls without waiting; if nothing is ready, advances the virtual time by the timeout."""
 
     def __init__(self) -> None:
@@ -25,11 +25,11 @@
     """Event loop that never waits in real time; for tests without sockets, processes or threads."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
-        return self._jumping.now
+        return self._virtual_selector.now
 
 
 class VirtualClock:
