--- a/tests/rig/trafficjudge.py
+++ b/tests/rig/trafficjudge.py
@@ -68,7 +68,7 @@
         spans = [
             *self.pauses,
             *self.waits.get(cut.node, ()),
-            *(span for server in servers for span in self.silences[server]),
+            *(silence for address in servers for silence in self.silences[address]),
         ]
         if any(span.end - span.start >= SHORT_SILENCE_S and span.overlaps(relevant) for span in merge_spans(spans)):
             return "long silence"
