--- a/tests/core/traffic/test_deadlyload.py
+++ b/tests/core/traffic/test_deadlyload.py
@@ -35,10 +35,10 @@
     wrong = 0
     for seed in range(1, 9):
         harm = play(nodes, servers, rate, seed, bars=True).harm
-        assert len(harm.ended) <= 3
+        assert len(harm.crash_times) <= 3
         assert harm.count_late_sends(CONTACT_TIME) == 0
-        assert harm.all_barring is not None
-        assert harm.all_barring - harm.sends[0] < 1.0
+        assert harm.all_barred_at is not None
+        assert harm.all_barred_at - harm.deadly_sends[0] < 1.0
         wrong += harm.barred
     assert wrong <= 8  # harmless requests, of 3,500 and more
 
@@ -46,5 +46,5 @@
 @pytest.mark.parametrize(("nodes", "servers", "rate"), FLEETS)
 def test_it_ends_many_when_nothing_is_remembered(nodes: int, servers: int, rate: float) -> None:
     harm = play(nodes, servers, rate, 1, bars=False).harm
-    assert len(harm.ended) >= 9
+    assert len(harm.crash_times) >= 9
     assert harm.count_late_sends(CONTACT_TIME) > 3
--- a/tests/core/traffic/test_fleetload.py
+++ b/tests/core/traffic/test_fleetload.py
@@ -88,8 +88,8 @@
     """
     figures, _ = play_large(195, rate=244.0, seconds=6.0)
     begun = figures.begun.total()
-    assert figures.returns > 0.5 * begun
-    assert figures.outside < 0.4 * begun
+    assert figures.reuses > 0.5 * begun
+    assert figures.in_other_hall < 0.4 * begun
 
 
 def test_clients_that_all_come_to_one_hall_are_served_in_all_halls() -> None:
@@ -98,7 +98,7 @@
     figures = model.run(5.0)
     assert figures.refused_share < 0.01
     assert figures.late_share < 0.01
-    assert model.figures.outside > 0.3 * figures.begun.total()
+    assert model.figures.in_other_hall > 0.3 * figures.begun.total()
 
 
 def play_loss(*, reports_losses: bool) -> Figures:
--- a/tests/rig/deadlymodel.py
+++ b/tests/rig/deadlymodel.py
@@ -31,17 +31,17 @@
 class Harm:
     """Effects of the deadly requests in a run."""
 
-    ended: list[float] = field(default_factory=list)  # times at which servers crashed
-    sends: list[float] = field(default_factory=list)  # times at which deadly requests were sent to servers
+    crash_times: list[float] = field(default_factory=list)  # times at which servers crashed
+    deadly_sends: list[float] = field(default_factory=list)  # times at which deadly requests were sent to servers
     barred: int = 0  # harmless requests that were barred
     broken: int = 0  # harmless streams that lost their server and found no other one
-    all_barring: float | None = None  # time from which on every node barred the deadly content
+    all_barred_at: float | None = None  # time from which on every node barred the deadly content
 
     def count_late_sends(self, grace: float) -> int:
         """Count the deadly requests that were sent more than `grace` seconds after the third crash."""
-        if len(self.ended) < 3:
+        if len(self.crash_times) < 3:
             return 0
-        return sum(at > self.ended[2] + grace for at in self.sends)
+        return sum(at > self.crash_times[2] + grace for at in self.deadly_sends)
 
 
 @dataclass(eq=False)
@@ -122,7 +122,7 @@
         server = request.server = min(candidates, key=lambda each: len(self._streams[each]))
         self._streams[server][request] = None
         request.run, request.first_event_at = request.run + 1, float("inf")
-        self.harm.sends += [self.now] * request.is_deadly
+        self.harm.deadly_sends += [self.now] * request.is_deadly
         read_at = self._read_until[server] = max(self.now, self._read_until[server]) + PROMPT_READ_TIME_S
         first = read_at - self.now + self.random.uniform(*FIRST_EVENT_RANGE_S)
         if request.is_deadly:
@@ -151,7 +151,7 @@
         self._boards[request.node].record_completion(request.content, "v1")
 
     def _end_server(self, server: int) -> None:
-        self.harm.ended.append(self.now)
+        self.harm.crash_times.append(self.now)
         name = ServerId(f"i-{server}-{self._starts[server]}")
         self._starts[server] += 1
         self._restarted_at[server] = self.now + RESTART_TIME_S
@@ -189,8 +189,8 @@
         for board in self._boards:
             if board.check != self._boards[node].check:
                 board.join(crashes)
-        if self.harm.all_barring is None and all(board.is_barred(Content(1)) for board in self._boards):
-            self.harm.all_barring = self.now
+        if self.harm.all_barred_at is None and all(board.is_barred(Content(1)) for board in self._boards):
+            self.harm.all_barred_at = self.now
 
 
 __all__ = ["DeadlyModel", "Harm"]
--- a/tests/rig/fleetmodel.py
+++ b/tests/rig/fleetmodel.py
@@ -43,21 +43,21 @@
 class Figures:
     """Counts of the outcomes of streams."""
 
-    asked: int = 0
+    arrived: int = 0
     late: int = 0
     refused: int = 0
     refusals: int = 0  # by servers; includes refusals of requests that another server accepted
     begun: Counter[ServerId] = field(default_factory=Counter)  # streams by first server
-    outside: int = 0  # streams whose first server is in another hall than the node
-    returns: int = 0  # streams whose first server the node used within IDLE_CONNECTION_TIME_S
+    in_other_hall: int = 0  # streams whose first server is in another hall than the node
+    reuses: int = 0  # streams whose first server the node used within IDLE_CONNECTION_TIME_S
 
     @property
     def late_share(self) -> float:
-        return self.late / max(1, self.asked)
+        return self.late / max(1, self.arrived)
 
     @property
     def refused_share(self) -> float:
-        return self.refused / max(1, self.asked)
+        return self.refused / max(1, self.arrived)
 
     def compute_peak(self, firsts: Iterable[BackendServer]) -> float:
         """Return the ratio of the streams of the busiest first server to the mean over all given first servers."""
@@ -167,7 +167,7 @@
         answer = max(
             EVENT_TOKENS, min(3 * self._engine.usual_answer, self.random.expovariate(1 / self._engine.usual_answer))
         )
-        self.figures.asked += 1
+        self.figures.arrived += 1
         self._serve(node, prompt, answer)
 
     def _serve(self, node: _Node, prompt: float, answer: float) -> None:
@@ -237,8 +237,8 @@
 
     def _count_begun(self, node: _Node, first: BackendServer) -> None:
         self.figures.begun[first.id] += 1
-        self.figures.outside += first.hall != node.hall
-        self.figures.returns += self.now - node.last_used_at.get(first.id, float("-inf")) < IDLE_CONNECTION_TIME_S
+        self.figures.in_other_hall += first.hall != node.hall
+        self.figures.reuses += self.now - node.last_used_at.get(first.id, float("-inf")) < IDLE_CONNECTION_TIME_S
         node.last_used_at[first.id] = self.now
 
     def _read_prompt(self, chain: Chain, prompt: float) -> float:
--- a/tests/rig/soakfaults.py
+++ b/tests/rig/soakfaults.py
@@ -224,8 +224,8 @@
         added = {**routes[3], "name": "new", "path_prefix": f"/new-{self._version}/"}
         keys = [key for key, at in self._keys.items() if at == NEVER]
         tenants = [{"name": "broker", "api_keys": keys, "priority": 1}]
-        made = make_configuration(self._version, routes=[*routes, added, *self._extra_routes], tenants=tenants)
-        configure(self.traffic.fleet.store, made)
+        configuration = make_configuration(self._version, routes=[*routes, added, *self._extra_routes], tenants=tenants)
+        configure(self.traffic.fleet.store, configuration)
 
     async def _change_often(self, rng: random.Random) -> None:
         """Change the configuration several times in a row, often a long one, and mostly make it short again."""
--- a/tests/rig/traffic.py
+++ b/tests/rig/traffic.py
@@ -149,10 +149,12 @@
         await node.wait_until_ready(self.client)
         return node
 
-    async def add_chains(self, halls: tuple[str, ...] = ("east", "west"), each: int = 2) -> list[Server]:
+    async def add_chains(self, halls: tuple[str, ...] = ("east", "west"), per_hall: int = 2) -> list[Server]:
         """Add model servers, and wait until they hold whole chains."""
         servers = [
-            await self.fleet.add(f"127.0.0.1:{find_port()}", "llm", hall, "big") for hall in halls for _ in range(each)
+            await self.fleet.add(f"127.0.0.1:{find_port()}", "llm", hall, "big")
+            for hall in halls
+            for _ in range(per_hall)
         ]
         await wait_for(lambda: all(server.held for server in servers))
         await anyio.sleep(0.3)  # for the node to read which layers they hold now
--- a/tests/rig/trafficdemo.py
+++ b/tests/rig/trafficdemo.py
@@ -36,7 +36,7 @@
             print(f"platform: status {answer.status_code}, {len(ids)} events, {'whole' if is_whole else 'BROKEN'}")
             chains = [chain for run in traffic.fleet.runs for chain in run.tokens]
             layers = [[layer for part in chain for layer in range(part.first, part.end)] for chain in chains]
-            are_right = all(one == list(range(traffic.fleet.layers)) for one in layers)
+            are_right = all(chain_layers == list(range(traffic.fleet.layers)) for chain_layers in layers)
             print(f"each layer once and in order for {len(chains)} tokens: {'yes' if are_right else 'NO'}")
             node = f"127.0.0.1:{traffic.nodes[0].metrics_port}"
             await wait_for(lambda: any(line.get("request") == "demo" for line in traffic.nodes[0].read_log()))
--- a/tests/rig/trafficsoak.py
+++ b/tests/rig/trafficsoak.py
@@ -36,7 +36,7 @@
         """Run clients and faults until the time is over, then check the guarantees."""
         traffic = self.traffic
         traffic.fleet.answer_tokens, traffic.fleet.token_time = TOKENS, 0.02
-        await traffic.add_chains(each=3)
+        await traffic.add_chains(per_hall=3)
         for _ in range(3):
             (await traffic.add_desk()).work_time = 0.1  # so that some servers crash while they handle a request
         clients = [self._ask_stream] * 6 + [self._ask_plain] * 4
--- a/tests/test_boundary.py
+++ b/tests/test_boundary.py
@@ -18,7 +18,7 @@
     return [path for path in ROOT.glob("packages/*/src/**/*.py") if "platform" not in path.parts]
 
 
-def test_wire_names_stand_only_in_the_adapter() -> None:
+def test_wire_names_appear_only_in_the_adapter() -> None:
     found = [
         f"{path.relative_to(ROOT)}:{number}: {line.strip()}"
         for path in list_sources()
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -14,6 +14,6 @@
 
 
 @pytest.mark.parametrize("taken_out", [pytest.param(one, id=one.name) for one in (*PROOFS, *MECHANISMS)])
-def test_mechanism_stands_in_the_sources(taken_out: Proof | Mechanism) -> None:
+def test_mechanism_is_in_the_sources(taken_out: Proof | Mechanism) -> None:
     for edit in taken_out.edits:
         assert edit.old in (PACKAGES / edit.file).read_text()
