--- a/packages/node/src/vaneturn_node/http1/caller.py
+++ b/packages/node/src/vaneturn_node/http1/caller.py
@@ -1,4 +1,4 @@
-"""Short calls: a request and its whole answer within a time."""
+"""Short HTTP calls: a request and its whole answer within a time limit."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """No whole answer came."""
+    """A call without a whole answer."""
 
     cause: str
-    was_sent: bool  # a byte of the request has left
-    is_gone: bool = False  # nobody listens there, or not the server that was asked
-    is_unfinished: bool = False  # the answer was still arriving when its time was up
+    was_sent: bool  # a part of the request may have been sent
+    is_gone: bool = False  # the connection was refused, or another server is at the address
+    is_unfinished: bool = False  # the answer was still arriving when the time limit ended
 
 
 @dataclass(slots=True)
 class Arrival:
-    """How a long answer may arrive, and when bytes of one came last."""
+    """Time limits of a long answer, and the time when its last bytes arrived."""
 
-    extra: float  # seconds beyond a call's limit, once its answer has begun; infinite when only a silence ends it
-    silence: float  # seconds without a byte after which it is given up
-    at: float = float("-inf")  # steady time of the newest bytes of a body
+    extra: float  # seconds added to the limit of a call once its answer has begun; infinite if only `silence` limits it
+    silence: float  # seconds without a byte after which the call fails
+    at: float = float("-inf")  # monotonic time when bytes of a body last arrived
 
 
 class Caller:
-    """Makes short calls over kept connections."""
+    """Makes short calls over pooled connections."""
 
     def __init__(self, pool: LinkPool) -> None:
         self._pool = pool
@@ -56,7 +56,7 @@
         headers: Headers = (),
         arrival: Arrival | None = None,
     ) -> Reply | Failed:
-        """Call a server; the limit in seconds is for all of it, unless a long answer may arrive later."""
+        """Call a server; the limit in seconds covers the whole call, and `arrival` extends it for a long answer."""
         link: HttpLink | None = None
         parts: list[bytes] = []
         head = [(b"host", address.encode()), *headers]
--- a/packages/node/src/vaneturn_node/http1/link.py
+++ b/packages/node/src/vaneturn_node/http1/link.py
@@ -1,4 +1,4 @@
-"""One connection to a server, which says what was sent and how an answer ended."""
+"""One HTTP connection to a server; its errors state whether the request was sent and how the answer ended."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 RECEIVE_BYTES: Final = 65536
 MAX_HEAD_BYTES: Final = 65536
-DEFAULT_IDLE_TIME: Final = 2.0  # seconds a server keeps an idle connection at least, if it tells no time
-IDLE_MARGIN: Final = 0.8  # seconds before the told time, for the way there
+DEFAULT_IDLE_TIME: Final = 2.0  # seconds that servers keep an idle connection if they send no Keep-Alive timeout
+IDLE_MARGIN: Final = 0.8  # seconds subtracted from the Keep-Alive timeout, for the transit of the next request
 
 
 class LinkError(Exception):
-    """The connection cannot be used any more.
+    """The connection can no longer be used.
 
-    :ivar was_sent: whether a byte of the request has left.
-    :ivar is_refused: whether nobody listens at the address.
-    :ivar is_silence: whether nothing came for the time given, as from a server that is cut off, or this VM could not
-        connect for a reason of its own, as the want of a descriptor.
+    :ivar was_sent: whether a part of the request may have been sent.
+    :ivar is_refused: whether the connection was refused, as no process listens at the address.
+    :ivar is_silence: whether nothing arrived within the time limit, as from a server behind a network partition, or
+        this VM failed to connect for a local reason, such as a lack of file descriptors.
     """
 
     def __init__(self, cause: str, *, was_sent: bool, is_silence: bool = False, is_refused: bool = False) -> None:
@@ -52,7 +52,7 @@
         self._socket_number: int = stream.extra(SocketAttribute.raw_socket).fileno()  # noqa: S610 # no query
         self._protocol = h11.Connection(our_role=h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._was_sent = False
-        self._ahead: h11.Event | type[h11.PAUSED | h11.NEED_DATA] | None = None  # read before it was asked for
+        self._ahead: h11.Event | type[h11.PAUSED | h11.NEED_DATA] | None = None  # an event that was read ahead
         self._idle_time = DEFAULT_IDLE_TIME
         self.idle_since = 0.0  # set by the pool
 
@@ -60,7 +60,7 @@
     async def open(cls, address: str, limit: float) -> HttpLink:
         """Connect to IP:PORT.
 
-        :raises LinkError: nobody answered in time.
+        :raises LinkError: the connection could not be opened in time.
         """
         host, _, port = address.rpartition(":")
         try:
@@ -77,7 +77,7 @@
     async def send(self, method: str, target: str, headers: Headers, body: bytes, limit: float) -> None:
         """Send a whole request.
 
-        :raises LinkError: a part of it may have left.
+        :raises LinkError: sending failed; a part of the request may have been sent.
         """
         self._was_sent = False
         framed = [*headers, (b"content-length", str(len(body)).encode())] if body or method != "GET" else list(headers)
@@ -97,7 +97,7 @@
     async def read_head(self, limit: float) -> AnswerHead:
         """Wait for the head of the answer.
 
-        :raises LinkError: none came in time, the connection ended, or the bytes are no answer.
+        :raises LinkError: none came in time, the connection ended, or the bytes are not an HTTP response.
         """
         while True:
             event = await self._read_event(limit)
@@ -108,7 +108,7 @@
                 raise LinkError("connection ended before an answer", was_sent=True)
 
     async def read_data(self, limit: float) -> bytes | None:
-        """Wait for more of the body; none at its end.
+        """Wait for more of the body; return None at its end.
 
         :raises LinkError: nothing came in time, or the connection ended inside the body.
         """
@@ -120,7 +120,7 @@
         raise LinkError("connection ended inside an answer", was_sent=True)
 
     async def wait_for_more(self, limit: float) -> None:
-        """Wait until more of the answer is here; the next read gives it.
+        """Wait until more of the answer has arrived; the next read returns it.
 
         :raises LinkError: nothing came in time, or the connection ended.
         """
@@ -158,7 +158,7 @@
                 self._idle_time = max(0.0, int(value) - IDLE_MARGIN)
 
     def finish(self) -> bool:
-        """Make ready for the next exchange; false when the connection cannot carry one."""
+        """Prepare for the next exchange; return whether the connection can carry one."""
         if self._protocol.our_state is not h11.DONE or self._protocol.their_state is not h11.DONE:
             return False
         if self._protocol.trailing_data[0]:
@@ -167,7 +167,7 @@
         return True
 
     def is_fresh(self, now: float, longest: float) -> bool:
-        """Tell whether an idle connection may carry another request: not too long idle, not closed, nothing arrived."""
+        """Return whether an idle connection can carry another request: not idle too long, not closed, no stray data."""
         if now - self.idle_since >= min(self._idle_time, longest):
             return False
         readable = select.poll()
@@ -175,7 +175,7 @@
         return not readable.poll(0)
 
     async def abort(self) -> None:
-        """Close at once."""
+        """Close immediately."""
         await self._stream.aclose()
 
 
--- a/packages/node/src/vaneturn_node/http1/messages.py
+++ b/packages/node/src/vaneturn_node/http1/messages.py
@@ -8,7 +8,7 @@
 
 Headers = Sequence[tuple[bytes, bytes]]
 
-MAX_REST: Final = 3600.0  # seconds that a server may ask a node to stay away; longer times are cut to it
+MAX_REST: Final = 3600.0  # seconds that a server may ask a node to send it no requests; longer times are capped
 _DECIMAL: Final = re.compile(rb"\d{1,12}(\.\d{1,12})?")
 _CONNECTION_HEADERS: Final = frozenset(
     {
@@ -26,17 +26,17 @@
 
 
 def find_header(headers: Headers, name: bytes) -> bytes | None:
-    """Find the first header of a name."""
+    """Find the value of the first header with a name."""
     return next((value for one, value in headers if one == name), None)
 
 
 def parse_decimal(value: bytes) -> float | None:
-    """Parse a decimal number without sign or exponent, as in Retry-After; none where it is something else."""
+    """Parse a decimal number without sign or exponent, as in Retry-After; return None for any other text."""
     return float(value) if _DECIMAL.fullmatch(value.strip()) else None
 
 
 def list_connection_headers(headers: Headers) -> frozenset[bytes]:
-    """List the headers that concern one connection only, those named by the connection header included."""
+    """List the hop-by-hop headers, including those that the Connection header names."""
     named = {
         token.strip().lower()
         for name, value in headers
--- a/packages/node/src/vaneturn_node/http1/pool.py
+++ b/packages/node/src/vaneturn_node/http1/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to servers."""
+"""Pool of idle HTTP connections to servers."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from vaneturn_node.clock import read_clock
 from vaneturn_node.http1.link import HttpLink
 
-CONNECT_TIME: Final = 0.3  # seconds; a sound server accepts in a few milliseconds
+CONNECT_TIME: Final = 0.3  # seconds; a healthy server accepts within a few milliseconds
 SWEEP_INTERVAL: Final = 1.0  # seconds
 MAX_IDLE_EACH: Final = 8  # idle connections kept to one address
-ANY_IDLE_TIME: Final = 60.0  # seconds: what the server tells is the shorter
+ANY_IDLE_TIME: Final = 60.0  # seconds; the Keep-Alive timeout of the server is the shorter limit
 
 
 class LinkPool:
@@ -23,7 +23,7 @@
         self._idle: defaultdict[str, list[HttpLink]] = defaultdict(list)
 
     async def take(self, address: str, longest_idle: float = ANY_IDLE_TIME) -> HttpLink:
-        """Take a kept connection that was idle for less than some seconds, or open one.
+        """Take a connection that was idle for less than `longest_idle` seconds, or open a new one.
 
         :raises LinkError: no connection could be opened.
         """
@@ -37,7 +37,7 @@
         return await HttpLink.open(address, CONNECT_TIME)
 
     async def put_back(self, link: HttpLink, address: str) -> None:
-        """Keep a connection whose exchange has ended, or close it."""
+        """Return a connection whose exchange has ended to the pool, or close it."""
         idle = self._idle[address]
         if len(idle) < MAX_IDLE_EACH and link.finish():
             link.idle_since = read_clock()
--- a/packages/node/src/vaneturn_node/http1/server.py
+++ b/packages/node/src/vaneturn_node/http1/server.py
@@ -1,4 +1,4 @@
-"""One connection of a client: reads requests, writes answers, notices when the client has left."""
+"""One client connection: reads requests, writes answers and detects that the client has disconnected."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from vaneturn_node.http1.messages import Headers, find_header
 
 RECEIVE_BYTES: Final = 65536
-MAX_AHEAD_BYTES: Final = 65536  # of later requests that are read while one is answered
-LAST_LOOK: Final = 0.05  # seconds in which a request that was sent before its client could see a planned stop is here
-LINGER_TIME: Final = 0.5  # seconds in which a client may read the answer to a request that was not read whole
-HEADER_OVERHEAD: Final = 4  # bytes of a header line beside its name and value
+MAX_AHEAD_BYTES: Final = 65536  # of pipelined requests that are read while one is answered
+LAST_LOOK: Final = 0.05  # seconds for a request to arrive that was sent before its client could see a planned stop
+LINGER_TIME: Final = 0.5  # seconds for a client to read the answer to a request that was not read whole
+HEADER_OVERHEAD: Final = 4  # bytes of a header line besides its name and value
 NO_BODY_STATUSES: Final = frozenset({204, 304})
 
 logger = logging.getLogger(__name__)
@@ -38,19 +38,19 @@
     path: str
     headers: Headers  # lower-case names
     body: bytes
-    arrived: float  # steady clock, seconds
+    arrived: float  # monotonic time, seconds
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """A request that is not let in."""
+    """A request that is refused before it reaches the handler."""
 
     status: int
     reason: str
 
 
 class ClientAnswer:
-    """Writes one answer; what has not ended when the connection closes does not look whole."""
+    """Writes one answer; a client can tell an answer that was cut off from a whole one."""
 
     def __init__(
         self, stream: SocketStream, protocol: h11.Connection, method: str, is_stopping: Callable[[], bool]
@@ -59,12 +59,12 @@
         self._protocol = protocol
         self._method = method
         self._is_stopping = is_stopping
-        self.closes = False  # the connection, after this answer
+        self.closes = False  # whether the connection closes after this answer
         self.is_begun = False
         self.is_ended = False
 
     async def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send an answer whose body is known."""
+        """Send an answer with a known body."""
         framed = [*headers, *self._list_own_headers()]
         if status not in NO_BODY_STATUSES:
             framed.append((b"content-length", str(len(body)).encode()))
@@ -77,7 +77,7 @@
         self.is_ended = True
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Send the head of an answer whose length is not known."""
+        """Send the head of an answer of unknown length."""
         data = self._protocol.send(h11.Response(status_code=status, headers=[*headers, *self._list_own_headers()]))
         self.is_begun = True
         await self._send(data or b"")
@@ -118,8 +118,8 @@
     ) -> None:
         """Prepare a connection.
 
-        :param is_stopping: asked at each answer: whether the connection ends after it.
-        :param idle_scopes: holds the scope of this connection while no request is on it; cancelling it closes.
+        :param is_stopping: called for each answer; tells whether the connection closes after it.
+        :param idle_scopes: contains the scope of this connection while it has no request; cancelling closes it.
         """
         self._stream = stream
         self._handler = handler
@@ -127,7 +127,7 @@
         self._idle_scopes = idle_scopes
         self._protocol = h11.Connection(our_role=h11.SERVER, max_incomplete_event_size=limits.header_bytes)
         self._is_stopping = is_stopping
-        self._has_left = False  # the client
+        self._has_left = False  # whether the client has disconnected
 
     async def run(self) -> None:
         """Serve requests until the connection ends."""
@@ -165,14 +165,14 @@
         return True
 
     async def _answer(self, request: ClientRequest, answer: ClientAnswer) -> None:
-        """Answer a request; all work on it ends at once when the client leaves."""
+        """Answer a request; cancel all work on it when the client disconnects."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._watch_client, tasks.cancel_scope)
             await self._handler(request, answer)
             tasks.cancel_scope.cancel()
 
     async def _watch_client(self, scope: anyio.CancelScope) -> None:
-        """Read ahead, so that the end of the connection is seen."""
+        """Read ahead to detect the end of the connection."""
         ahead = 0
         while ahead < MAX_AHEAD_BYTES:
             data = await self._receive()
@@ -192,7 +192,7 @@
             return b""
 
     async def _read_request(self) -> ClientRequest | Rejection | None:
-        """Read a whole request; none when the client has none any more."""
+        """Read a whole request; return None if the client sends no more."""
         if not self._protocol.trailing_data[0] and not await self._await_first_bytes():
             return None
         arrived = read_clock()
@@ -204,11 +204,11 @@
         return Rejection(408, "the request took too long to arrive")
 
     async def _await_first_bytes(self) -> bool:
-        """Wait for a request; false when none comes.
+        """Wait for a request; return false if none arrives.
 
-        A planned stop ends the wait, and a request may have arrived in the same moment: closing at once would cut a
-        request that was never read. A connection with an answer under way ends after it, however late: what it took
-        then might not end before the process.
+        A planned stop cancels the wait. Closing immediately would cut off a request that arrived at the same moment and
+        was never read, so the connection is read once more. A connection with an answer in progress always closes after
+        it: a request taken then might not end before the process does.
         """
         with anyio.CancelScope() as scope:
             self._idle_scopes.add(scope)
@@ -219,7 +219,7 @@
         return await self._take_bytes(LAST_LOOK)
 
     async def _take_bytes(self, limit: float) -> bool:
-        """Take what arrives first; false when nothing does in time, or the client has left."""
+        """Receive the first bytes; return false if none arrive in time or the client has disconnected."""
         with anyio.move_on_after(limit):
             data = await self._receive()
             self._protocol.receive_data(data)
@@ -259,7 +259,7 @@
             self._protocol.receive_data(data)
 
     async def _reject(self, rejection: Rejection) -> None:
-        """Answer a request that was not let in; the rest of it is not read, so the connection ends."""
+        """Answer a refused request and end the connection, as the rest of the request is not read."""
         logger.info("request rejected", extra={"status": rejection.status, "reason": rejection.reason})
         if self._protocol.our_state not in {h11.IDLE, h11.SEND_RESPONSE}:
             return
@@ -273,7 +273,7 @@
 
 
 def _check_framing(headers: Headers, limits: ClientLimits) -> Rejection | None:
-    """Check what could make a server see another request than this node does."""
+    """Check sizes, and framing that a server could parse as another request than this node does (smuggling)."""
     if sum(len(name) + len(value) + HEADER_OVERHEAD for name, value in headers) > limits.header_bytes:
         return Rejection(431, "the head is too long")
     length = find_header(headers, b"content-length")
