--- a/packages/node/src/vaneturn_node/peers/gossip.py
+++ b/packages/node/src/vaneturn_node/peers/gossip.py
@@ -1,4 +1,4 @@
-"""Probing the other nodes and telling them what has changed, over one UDP socket."""
+"""Gossip between nodes: probes them and reports changes to them over one UDP socket."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 from vaneturn_node.peers.seal import Sealer
 
 PERIOD: Final = 1.0  # seconds between probes of a node
-ACK_TIMEOUT: Final = 0.3  # seconds to a direct answer
-INDIRECT_TIMEOUT: Final = 0.5  # seconds more to an answer through a helper
+ACK_TIMEOUT: Final = 0.3  # seconds to wait for a direct ack
+INDIRECT_TIMEOUT: Final = 0.5  # additional seconds to wait for an ack through a helper
 HELPERS: Final = 3
-MAX_TELLINGS: Final = 8  # members on a datagram, which stays under 1,200 bytes
-FANOUT: Final = 4  # members that are told at once of a newer configuration or a leaving server
-REJOIN_PERIOD: Final = 10.0  # seconds between pings of a seed or a dead member, which heal a cut
+MAX_TELLINGS: Final = 8  # members in one datagram, which stays under 1,200 bytes
+FANOUT: Final = 4  # members that get an immediate report of a newer configuration or a leaving server
+REJOIN_PERIOD: Final = 10.0  # seconds between pings of a seed or a dead member, which heal a network partition
 
 logger = logging.getLogger(__name__)
 
 
 class Gossip:
-    """One datagram socket; a task that probes and a task that answers."""
+    """Gossip over one datagram socket, with one task that probes and one that answers."""
 
     def __init__(
         self,
@@ -55,15 +55,15 @@
         self._leaving_listeners: list[Callable[[VmId], None]] = []
 
     def on_newer_revision(self, listener: Callable[[Revision, str], None]) -> None:
-        """Call the listener with each revision above the own one, and the peer address that has it."""
+        """Call the listener with each revision newer than this node's, and the address of the peer that has it."""
         self._newer_listeners.append(listener)
 
     def on_leaving(self, listener: Callable[[VmId], None]) -> None:
-        """Call the listener with each server that a peer says is leaving."""
+        """Call the listener with each server that a peer reports as leaving."""
         self._leaving_listeners.append(listener)
 
     def add_seeds(self, addresses: Iterable[str]) -> None:
-        """Add addresses to join through."""
+        """Add addresses of nodes through which to join."""
         self._seeds.extend(address for address in addresses if address not in self._seeds)
 
     async def run(self) -> None:
@@ -80,27 +80,27 @@
             await self._probe()
 
     async def retire(self) -> None:
-        """Tell that this node will stop."""
+        """Announce that this node will stop."""
         self.table.announce_stopping()
         await self.announce()
 
     async def stop(self) -> None:
-        """Tell that this node stops now."""
+        """Announce that this node stops now."""
         self.table.announce_stopped()
         await self.announce()
 
     async def announce(self) -> None:
-        """Tell some members at once; they tell others in turn."""
+        """Report to some members immediately; they pass the report on."""
         for member in self.table.pick_random_peers(self.table.own.node, FANOUT):
             await self._send(member.address, Ping(next(self._numbers), self._tell()))
 
     def announce_soon(self) -> None:
-        """Tell some members from a task of its own."""
+        """Report to some members from a separate task."""
         if self._tasks is not None:
             self._tasks.start_soon(self.announce)
 
     def tell_leaving(self, vms: frozenset[VmId]) -> None:
-        """Tell from now on that these servers are leaving."""
+        """Report from now on that these servers are leaving."""
         if vms - self._leaving:
             self.announce_soon()
         self._leaving = vms
@@ -133,7 +133,7 @@
             del self._acks[number]
 
     async def _rejoin(self) -> None:
-        """Ping a seed or a dead member now and then; often until the first peer is known."""
+        """Ping a seed or a dead member periodically; more often until the first peer is known."""
         while True:
             known = {member.address for member in self.table.list_alive()}
             dead = [member.address for member in self.table.list_dead()]
@@ -189,7 +189,7 @@
                 leaving_listener(vm)
 
     def _tell(self, asked: Telling | None = None) -> Telling:
-        """Make what rides on a datagram; the answer to a node that tells of itself tells it of some members."""
+        """Make the report of a datagram; the answer to a node that introduces itself also includes some members."""
         own = self.table.own
         members = self.table.take_changes(MAX_TELLINGS)
         if asked is not None and own not in members and any(member.address == asked.sender for member in asked.members):
@@ -202,7 +202,7 @@
         host, _, port = address.rpartition(":")
         self._metrics.peer_bytes.labels("sent").inc(len(message))
         try:
-            async with self._sending:  # the socket takes one writer at a time
+            async with self._sending:  # the socket supports one writer at a time
                 await self._socket.sendto(message, host, int(port))
         except OSError as error:
             logger.info("datagram not sent", extra={"address": address, "cause": repr(error)})
--- a/packages/node/src/vaneturn_node/peers/meeting.py
+++ b/packages/node/src/vaneturn_node/peers/meeting.py
@@ -1,4 +1,4 @@
-"""The meeting point of the nodes: a short list of peer addresses in the key-value service."""
+"""Discovery of peers through a short list of peer addresses in the key-value service."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 async def join_meeting(store: KeyValueService, gossip: Gossip) -> None:
-    """Learn whom to join through, and leave the own address for those that start later."""
+    """Read the addresses through which to join, and add the own one for nodes that start later."""
     own = gossip.table.own.address
     for _ in range(TRIES):
         entry = await store.read(MEETING_KEY)
@@ -37,19 +37,19 @@
             if isinstance(written, int):
                 return
         elif isinstance(entry, Unavailable):
-            logger.info("meeting point not reached", extra={"cause": entry.cause})
+            logger.info("list of peer addresses not available", extra={"cause": entry.cause})
         await anyio.sleep(RETRY)
 
 
 class Introducer:
-    """Tells a node of this one, and learns who it is."""
+    """Introduces this node to another one and learns its identity."""
 
     def __init__(self, client: PeerClient, table: MemberTable) -> None:
         self._client = client
         self._table = table
 
     async def __call__(self, address: str) -> Member | None:
-        """Ask who has a peer address; none without an answer."""
+        """Ask which node has a peer address; return None without an answer."""
         answer = await self._client.ask(address, Introduce(self._table.own), INTRODUCE_TIMEOUT)
         return answer.member if isinstance(answer, Introduction) else None
 
--- a/packages/node/src/vaneturn_node/peers/messages.py
+++ b/packages/node/src/vaneturn_node/peers/messages.py
@@ -13,12 +13,12 @@
 
 
 class Telling(Struct, frozen=True, array_like=True):
-    """What rides on every datagram."""
+    """The state that every datagram carries."""
 
     revision: Revision  # of the configuration in force at the sender
     sender: str  # peer address
     members: list[Member] = []
-    leaving: list[VmId] = []  # servers that told the sender that they leave
+    leaving: list[VmId] = []  # servers that reported to the sender that they are leaving
 
 
 class Ping(Struct, frozen=True, tag=1, array_like=True):
@@ -29,14 +29,14 @@
 
 
 class Ack(Struct, frozen=True, tag=2, array_like=True):
-    """Answer a ping; passed on to the node that asked through another."""
+    """Acknowledge a ping; a helper forwards the ack to the node that asked for the ping."""
 
     number: int
     telling: Telling
 
 
 class PingFor(Struct, frozen=True, tag=3, array_like=True):
-    """Ask a node to ping another one and to pass its answer on."""
+    """Ask a node, the helper, to ping another one and to forward the ack."""
 
     number: int
     target: str  # peer address
@@ -53,11 +53,11 @@
 class ConfigurationDocument(Struct, frozen=True, tag=11, array_like=True):
     """The configuration in force; empty when there is none."""
 
-    compressed: bytes  # by zlib: 48 KB in place of 220 at 810 servers and 1,000 customers
+    compressed: bytes  # with zlib: 48 KB instead of 220 KB for 810 servers and 1,000 customers
 
 
 class ClaimRequest(Struct, frozen=True, tag=12, array_like=True):
-    """Ask the owner of a key's slot for the right to run a request once."""
+    """Ask the owner of a key's slot for a claim to run a request once."""
 
     customer: CustomerName
     repeat_key: RepeatKey
@@ -71,7 +71,7 @@
 
 
 class ReleaseRequest(Struct, frozen=True, tag=14, array_like=True):
-    """Give a claim back whose request was not run."""
+    """Release a claim whose request was not run."""
 
     customer: CustomerName
     repeat_key: RepeatKey
@@ -79,16 +79,16 @@
 
 
 class HandOver(Struct, frozen=True, tag=16, array_like=True):
-    """Give a slot's claims to its next owner; the sender takes none any more."""
+    """Transfer a slot's claims to its next owner; the sender accepts no more claims for it."""
 
-    epoch: int  # of the map that names the next owner
+    epoch: int  # of the slot map that names the next owner
     slot: int
-    taken_at: float  # from when on the sender could vouch for keys, seconds since the epoch
+    taken_at: float  # seconds since the epoch; the sender can judge keys that were created later
     claims: list[LedgerEntry]
 
 
 class Introduce(Struct, frozen=True, tag=17, array_like=True):
-    """Ask who has an address, and tell of oneself."""
+    """Ask which node has an address, and introduce the sender."""
 
     member: Member
 
@@ -100,7 +100,7 @@
 
 
 class Received(Struct, frozen=True, tag=15, array_like=True):
-    """The request was taken and needs no other answer."""
+    """The request was accepted and needs no other answer."""
 
 
 Query = FetchConfiguration | ClaimRequest | ReleaseRequest | HandOver | Introduce
--- a/packages/node/src/vaneturn_node/peers/requests.py
+++ b/packages/node/src/vaneturn_node/peers/requests.py
@@ -1,4 +1,4 @@
-"""Requests between nodes over ZeroMQ: one ROUTER that answers, one DEALER for each request's peer."""
+"""Requests between nodes over ZeroMQ: a ROUTER socket for answers, a DEALER socket for each peer."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from vaneturn_node.peers.messages import ANSWERS, ENCODER, QUERIES, Answer, Query
 from vaneturn_node.peers.seal import Sealer
 
-IDLE_TIME: Final = 60.0  # seconds after which the connection to a peer that is not asked is closed
+IDLE_TIME: Final = 60.0  # seconds without a request after which the connection to a peer is closed
 
 logger = logging.getLogger(__name__)
 
@@ -34,7 +34,7 @@
         self._metrics = metrics
 
     async def run(self, handle: Handler) -> None:
-        """Answer until cancelled, each request in a task of its own."""
+        """Answer requests until cancelled, each in its own task."""
         with self._context.socket(zmq.ROUTER) as socket:
             socket.linger = 0
             socket.bind(f"tcp://{self._address}")
@@ -64,7 +64,7 @@
 
 
 class PeerClient:
-    """Asks other nodes; one connection and one reading task for each peer that is asked."""
+    """Sends requests to other nodes; uses one connection and one reading task for each peer."""
 
     def __init__(self, context: zmq.asyncio.Context, tasks: TaskGroup, sealer: Sealer, metrics: Metrics) -> None:
         self._context = context
@@ -74,7 +74,7 @@
         self._connections: dict[str, _Connection] = {}
 
     async def ask(self, address: str, query: Query, timeout: float) -> Answer | None:  # noqa: ASYNC109 # an outcome, not an error
-        """Ask a peer; none when no answer came in time."""
+        """Ask a peer; return None if no answer arrives in time."""
         connection = self._connections.get(address)
         if connection is None:
             connection = _Connection(self._context, address, self._sealer)
@@ -93,7 +93,7 @@
 
 
 class _Connection:
-    """A DEALER to one peer, and the answers that are awaited on it."""
+    """A DEALER socket to one peer, and the answers that are awaited on it."""
 
     def __init__(self, context: zmq.asyncio.Context, address: str, sealer: Sealer) -> None:
         self._socket = context.socket(zmq.DEALER)
@@ -116,7 +116,7 @@
             del self._events[number]
 
     async def read(self) -> None:
-        """Hand answers to those that await them, until the peer was not asked for a while."""
+        """Deliver answers to the waiting requests until the connection has been idle for too long."""
         while True:
             with anyio.move_on_after(IDLE_TIME) as scope:
                 number, message = await self._socket.recv_multipart()
@@ -127,7 +127,7 @@
             payload = self._sealer.open(message)
             event = self._events.get(number)
             if payload is None or event is None:
-                continue  # late, or not of this installation
+                continue  # too late, or from another installation
             self._answers[number] = ANSWERS.decode(payload)
             event.set()
 
--- a/packages/node/src/vaneturn_node/peers/seal.py
+++ b/packages/node/src/vaneturn_node/peers/seal.py
@@ -1,4 +1,4 @@
-"""Seals on messages between nodes: a keyed digest, so that only nodes of one installation are heard."""
+"""Seals on messages between nodes: a keyed digest, so that messages from other installations are ignored."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
         self._key = hashlib.sha256(cluster_key.encode()).digest()
 
     def seal(self, payload: bytes) -> bytes:
-        """Put a seal before a payload."""
+        """Prepend the seal to a payload."""
         return self._digest(payload) + payload
 
     def open(self, message: bytes) -> bytes | None:
-        """Take the payload of a sealed message; none when the seal is not ours."""
+        """Return the payload of a sealed message, or None if the seal does not match the cluster key."""
         payload = message[SEAL_BYTES:]
         if not hmac.compare_digest(message[:SEAL_BYTES], self._digest(payload)):
             return None
--- a/packages/node/src/vaneturn_node/peers/sharing.py
+++ b/packages/node/src/vaneturn_node/peers/sharing.py
@@ -18,13 +18,13 @@
 from vaneturn_node.peers.requests import PeerClient
 
 FETCH_TIMEOUT: Final = 2.0  # seconds
-MARK_LIFE: Final = 15.0  # seconds that a peer's leaving mark holds after it was last told
+MARK_LIFE: Final = 15.0  # seconds that a leaving mark from a peer is valid after its last report
 
 logger = logging.getLogger(__name__)
 
 
 class Sharing:
-    """Fetches newer documents from the peers that have them, and keeps peers' leaving marks alive."""
+    """Fetches newer configurations from peers, and keeps the leaving marks that peers report until they expire."""
 
     def __init__(
         self, gossip: Gossip, client: PeerClient, in_force: ConfigurationInForce, healths: ServerHealths
@@ -35,7 +35,7 @@
         self._healths = healths
         self._newer: tuple[Revision, str] | None = None
         self._wake = anyio.Event()
-        self._marks: dict[VmId, float] = {}  # until when
+        self._marks: dict[VmId, float] = {}  # time when the mark expires
         gossip.on_newer_revision(self._note_newer)
         gossip.on_leaving(self._note_leaving)
         in_force.listen(self._announce)
@@ -57,7 +57,7 @@
         self._healths.mark_leaving(vm, LeavingSource.PEER)
 
     async def run(self) -> None:
-        """Fetch what is newer, and let old marks lapse, until cancelled."""
+        """Fetch newer configurations and expire old marks until cancelled."""
         while True:
             with anyio.move_on_after(1.0):
                 await self._wake.wait()
--- a/packages/node/src/vaneturn_node/peers/wiring.py
+++ b/packages/node/src/vaneturn_node/peers/wiring.py
@@ -1,4 +1,4 @@
-"""The parts of a node that talk to other nodes, made together."""
+"""Wiring of the components of a node that communicate with other nodes."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Peers:
-    """Membership and what flows on it."""
+    """Membership, and the exchange of messages between members."""
 
     runtime: Runtime
     gossip: Gossip
@@ -50,16 +50,16 @@
             tasks.start_soon(join_meeting, self.runtime.store, self.gossip)
 
     async def retire(self) -> None:
-        """Tell the others that this node will stop, and give away what they must go on with."""
+        """Announce that this node will stop, and hand over the slots that other nodes must continue to serve."""
         await self.gossip.retire()
         await self.runtime.ownership.hand_over(self.runtime.peer_client)
 
     async def stop(self) -> None:
-        """Tell the others that this node stops now."""
+        """Announce that this node stops now."""
         await self.gossip.stop()
 
     async def _own_slots(self) -> None:
-        """Take part in the slots once the configuration says that claims are made by slot."""
+        """Start to own slots once the configuration sets that claims are made by slot."""
         in_force = self.runtime.in_force
         while in_force.view.configuration.claims is not ClaimMode.BY_SLOT:
             await in_force.changed.wait()
@@ -83,7 +83,7 @@
 
 
 def make_peers(runtime: Runtime, table: MemberTable) -> Peers:
-    """Make the parts over a runtime."""
+    """Make the components for a runtime."""
     settings = runtime.settings
     sealer = Sealer(settings.cluster_key)
     gossip = Gossip(table, sealer, settings.seeds, lambda: runtime.in_force.revision, runtime.metrics)
