--- a/packages/node/src/vaneturn_node/http/__init__.py
+++ b/packages/node/src/vaneturn_node/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP towards callers and operators."""
+"""HTTP interface for callers and operators."""
--- a/packages/node/src/vaneturn_node/http/accounting.py
+++ b/packages/node/src/vaneturn_node/http/accounting.py
@@ -1,4 +1,4 @@
-"""What every request leaves behind: metrics and one log line."""
+"""Records of each ended request: metrics and one log line."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass
 class Account:
-    """Times and outcome of one admitted request."""
+    """Times, tokens and outcome of one request."""
 
     metrics: Metrics
     ended: EndedRequests
--- a/packages/node/src/vaneturn_node/http/answering.py
+++ b/packages/node/src/vaneturn_node/http/answering.py
@@ -1,4 +1,4 @@
-"""One answer on its way to its caller."""
+"""Generation of one chat answer and its delivery to the caller."""
 
 from __future__ import annotations
 
@@ -39,14 +39,14 @@
 from vaneturn_node.runtime import Runtime
 
 DEFAULT_MAX_TOKENS: Final = 1024
-PREFIX_CHARACTERS: Final = 512  # of the prompt, which name its affinity when the caller names no session
+PREFIX_CHARACTERS: Final = 512  # of the prompt, which determine the affinity if the caller names no session
 ROUTE_HEADER: Final = "Vaneturn-Route"
 _DONE: Final = b"data: [DONE]\n\n"
 
 
 @dataclass(frozen=True)
 class ChatCall:
-    """A request that was read and checked."""
+    """A chat request that was parsed and validated."""
 
     call: Call
     body: ChatRequest
@@ -58,13 +58,13 @@
 
 
 class Answer:
-    """One answer on its way to the caller; pulled by the caller's reading, so a slow reader buffers nothing."""
+    """One answer, generated only as fast as the caller reads it, so that a slow reader needs no buffer."""
 
     def __init__(self, runtime: Runtime, chat: ChatCall, account: Account, session_name: str) -> None:
         self._runtime = runtime
         self._chat = chat
         self._account = account
-        self._outcome: NotRun | Unknown | None = Unknown(Reason.CONNECTION_LOST)  # until the end is reached
+        self._outcome: NotRun | Unknown | None = Unknown(Reason.CONNECTION_LOST)  # until the answer has ended
         self._created = int(time.time())
         self._claim: Claim | None = None
         self._has_place = False
@@ -82,7 +82,7 @@
 
     @property
     def headers(self) -> dict[str, str]:
-        """Headers that name the request and the route it started on."""
+        """Headers with the ids of the request and of the route on which it started."""
         routes = self._generation.routes
         return {
             REQUEST_HEADER: self._account.id,
@@ -116,9 +116,9 @@
         return xxhash.xxh3_64_intdigest(self._account.id.encode()) >> 1
 
     async def start(self) -> Piece | NotRun | Unknown | None:
-        """Wait for a place and the first token; claim a request that must run at most once in between.
+        """Wait for admission and for the first token; in between, claim a request that must run at most once.
 
-        :return: the first token, or why there is none; nothing when a resumed answer was complete already.
+        :return: the first token, or why there is none; None if a resumed answer was already complete.
         """
         self._runtime.generations[self._account.id] = self._generation
         refusal = await self._enter_pipeline() or await self._claim_once()
@@ -147,7 +147,7 @@
         return None
 
     async def _enter_pipeline(self) -> NotRun | None:
-        """Wait for a place; a resumed answer is in progress already and is never turned away."""
+        """Wait for admission; a resumed answer is already in progress and is never refused."""
         chat, admission = self._chat, self._runtime.admission
         if chat.resumed is not None:
             admission.enter_resumed(chat.pipeline)
@@ -175,7 +175,7 @@
             self._outcome = None
 
     async def collect(self, first: Piece) -> Response:
-        """Answer with the whole text, or with an error if its end was not reached."""
+        """Answer with the whole text, or with an error if the answer was not completed."""
         texts: list[str] = []
         async for piece in self._follow(first):
             if not isinstance(piece, Piece):
@@ -192,7 +192,7 @@
         return Response(msgspec.json.encode(completion), headers=self.headers, media_type="application/json")
 
     async def stream(self, first: Piece | None) -> AsyncIterator[bytes]:
-        """Stream one event a token; only the end mark after the last one makes the answer whole."""
+        """Stream one event per token; an answer without the end mark after the last token is incomplete."""
         async for piece in self._follow(first):
             if not isinstance(piece, Piece):
                 yield b"data: " + msgspec.json.encode(describe_error(piece)) + b"\n\n"
@@ -222,7 +222,7 @@
         return "length" if self._account.tokens >= self._request.max_tokens else "stop"
 
     async def close(self) -> None:
-        """Release what the answer holds; safe to call twice."""
+        """Release the resources of the answer; safe to call twice."""
         if self._closed:
             return
         self._closed = True
--- a/packages/node/src/vaneturn_node/http/app.py
+++ b/packages/node/src/vaneturn_node/http/app.py
@@ -22,7 +22,7 @@
 
 
 def make_app(runtime: Runtime) -> Starlette:
-    """Make the application over a runtime."""
+    """Make the application for a runtime."""
 
     def bind(handler: Handler) -> Callable[[Request], Awaitable[Response]]:
         async def handle(request: Request) -> Response:
--- a/packages/node/src/vaneturn_node/http/chat.py
+++ b/packages/node/src/vaneturn_node/http/chat.py
@@ -34,7 +34,7 @@
 
 
 async def complete_chat(request: Request, runtime: Runtime) -> Response:
-    """Answer a chat request, or go on with one whose connection was lost."""
+    """Answer a chat request, or resume one whose connection was lost."""
     chat = await _read_chat(request, runtime)
     if isinstance(chat, Malformed):
         return answer_error(chat.outcome, chat.message)
@@ -83,7 +83,7 @@
 
 
 def _read_resumption(request: Request, runtime: Runtime, chat: ChatCall) -> ChatCall | Malformed:
-    """Read where to go on, if the request says so; the answer keeps the version that it began with."""
+    """Read the resume point, if the request has one; a resumed answer keeps its pipeline version."""
     text = request.headers.get(RESUME_HEADER)
     if text is None or not chat.body.stream:
         return chat
--- a/packages/node/src/vaneturn_node/http/chatformat.py
+++ b/packages/node/src/vaneturn_node/http/chatformat.py
@@ -29,7 +29,7 @@
 
 
 class ChatRequest(Struct, frozen=True):
-    """A request; fields that we do not use are accepted, as callers send many."""
+    """A request; unknown fields are ignored, as callers send many that are not used here."""
 
     model: str
     messages: Annotated[list[ChatMessage], Meta(min_length=1)]
@@ -81,7 +81,7 @@
 
 
 class Usage(Struct, frozen=True):
-    """Counted tokens."""
+    """Token counts."""
 
     prompt_tokens: int
     completion_tokens: int
--- a/packages/node/src/vaneturn_node/http/ended.py
+++ b/packages/node/src/vaneturn_node/http/ended.py
@@ -1,4 +1,4 @@
-"""The newest requests that have ended on this node, for the operators."""
+"""Recently ended requests of this node, for operators."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from vaneturn_core.identifiers import RequestId
 from vaneturn_core.operators import EndedRequest
 
-REMEMBERED: Final = 2048  # at most, about 1 MB
+REMEMBERED: Final = 2048  # about 1 MB of memory
 
 
 class EndedRequests:
-    """Remembers so many requests, the newest ones."""
+    """Keeps a limited number of ended requests, the newest ones."""
 
     def __init__(self) -> None:
         self._requests: OrderedDict[RequestId, EndedRequest] = OrderedDict()
 
     def add(self, ended: EndedRequest) -> None:
-        """Remember a request."""
+        """Add a request, and drop the oldest one beyond the limit."""
         self._requests[ended.request] = ended
         if len(self._requests) > REMEMBERED:
             self._requests.popitem(last=False)
 
     def find(self, request: RequestId) -> EndedRequest | None:
-        """Find a request that is still remembered."""
+        """Find a request that is still kept."""
         return self._requests.get(request)
 
 
--- a/packages/node/src/vaneturn_node/http/errors.py
+++ b/packages/node/src/vaneturn_node/http/errors.py
@@ -1,4 +1,4 @@
-"""Answers to requests that are refused or whose outcome is unknown."""
+"""Error answers to requests that were refused or whose outcome is unknown."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from vaneturn_core.outcomes import NotRun, Reason, Unknown
 from vaneturn_node.http.chatformat import ErrorBody, ErrorDetail
 
-REQUEST_HEADER: Final = "Vaneturn-Request"  # the id under which operators find the request
+REQUEST_HEADER: Final = "Vaneturn-Request"  # the id by which operators find the request
 
 _STATUS: Final = {
     Reason.UNKNOWN_KEY: 401,
@@ -34,7 +34,7 @@
 
 
 def describe_error(outcome: NotRun | Unknown, message: str = "") -> ErrorBody:
-    """Describe an outcome in the format of the callers."""
+    """Describe an outcome in the chat-completions format."""
     ran = isinstance(outcome, Unknown)
     status = find_status(outcome)
     text = message or ("the request may have run" if ran else "the request was not run")
@@ -52,7 +52,7 @@
 
 
 def answer_error(outcome: NotRun | Unknown, message: str = "", request: RequestId | None = None) -> Response:
-    """Answer at once; a refusal that may pass says when to come back."""
+    """Make an error answer; a temporary refusal says when to retry."""
     status = find_status(outcome)
     headers: dict[str, str] = {REQUEST_HEADER: request} if request else {}
     if isinstance(outcome, NotRun) and status >= _RETRYABLE_FROM:
--- a/packages/node/src/vaneturn_node/http/operators.py
+++ b/packages/node/src/vaneturn_node/http/operators.py
@@ -1,4 +1,4 @@
-"""The operators' interface of a node."""
+"""The HTTP interface of a node for operators."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 from vaneturn_node.http.reading import read_bearer
 from vaneturn_node.runtime import Runtime
 
-NOTHING_SAID: Final = Holdings(0, (), (), ())  # of an engine that does not tell what it holds
+NOTHING_SAID: Final = Holdings(0, (), (), ())  # of an engine that does not report its holdings
 
 audit = logging.getLogger("vaneturn.audit")
 
 
 def find_operator(request: Request, runtime: Runtime) -> str | None:
-    """Find the operator of the request's bearer key."""
+    """Find the operator by the request's bearer key."""
     key = read_bearer(request)
     matching = [
         name
@@ -46,12 +46,12 @@
 
 
 def refuse_operator() -> Response:
-    """Answer a request without a known operator's key."""
+    """Answer a request without the key of a known operator."""
     return _encode(ChangeAnswer(ChangeStatus.REJECTED, cause="unknown operator key"), 401)
 
 
 async def show_state(request: Request, runtime: Runtime) -> Response:
-    """Show what this node does and sees."""
+    """Show the state of this node, with its sessions and servers."""
     if find_operator(request, runtime) is None:
         return refuse_operator()
     return _encode(describe_state(runtime))
@@ -83,7 +83,7 @@
 
 
 async def show_change(request: Request, runtime: Runtime) -> Response:
-    """Tell whether a change took effect."""
+    """Show whether a change took effect."""
     if find_operator(request, runtime) is None:
         return refuse_operator()
     change = find_change(runtime.in_force.view.configuration, ChangeId(request.path_params["change"]))
@@ -93,7 +93,7 @@
 
 
 async def show_ended(request: Request, runtime: Runtime) -> Response:
-    """Tell what became of a request that has ended on this node."""
+    """Show the outcome of a request that has ended on this node."""
     if find_operator(request, runtime) is None:
         return refuse_operator()
     ended = runtime.ended.find(RequestId(request.path_params["request"]))
@@ -101,7 +101,7 @@
 
 
 def describe_state(runtime: Runtime) -> NodeState:
-    """Describe this node as it is now."""
+    """Describe the current state of this node."""
     ejected = runtime.healths.list_ejected()
     down = runtime.pool.list_down()
     configuration = runtime.in_force.view.configuration
--- a/packages/node/src/vaneturn_node/http/reading.py
+++ b/packages/node/src/vaneturn_node/http/reading.py
@@ -1,4 +1,4 @@
-"""Reading of requests: keys, bodies and headers."""
+"""Parsing of requests: keys, bodies and headers."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 MAX_BODY: Final = 8 << 20  # bytes
 TIMEOUT_HEADER: Final = "Vaneturn-Timeout"  # seconds that the caller waits for the whole answer
 REPEAT_HEADER: Final = "Vaneturn-Repeat"  # "never" marks a request that must run at most once
-SESSION_HEADER: Final = "Vaneturn-Session"  # requests of one working session prefer the same servers
-RESUME_HEADER: Final = "Last-Event-ID"  # the newest event that the caller has of a streamed answer
+SESSION_HEADER: Final = "Vaneturn-Session"  # requests of one session prefer the same servers
+RESUME_HEADER: Final = "Last-Event-ID"  # id of the last event that the caller received of a streamed answer
 KEY_HEADER: Final = "Idempotency-Key"
 DEFAULT_TIMEOUT: Final = 600.0  # seconds
 MAX_TIMEOUT: Final = 3600.0
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Malformed:
-    """A request that cannot be read, and why."""
+    """A request that is invalid or not allowed, and why."""
 
     outcome: NotRun
     message: str
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Call:
-    """What every request of a customer carries."""
+    """The data that all requests of customers have in common."""
 
     customer: Customer
     body: bytes
@@ -56,7 +56,7 @@
 
 
 def read_bearer(request: Request) -> str:
-    """Read the bearer key; empty when there is none."""
+    """Read the bearer key; return an empty string without one."""
     value = request.headers.get("Authorization", "")
     return value.removeprefix(_BEARER) if value.startswith(_BEARER) else ""
 
@@ -72,7 +72,7 @@
 
 
 async def read_body(request: Request) -> bytes | Malformed:
-    """Read the whole body within the limit."""
+    """Read the whole body, up to the size limit."""
     too_large = Malformed(NotRun(Reason.TOO_LARGE), f"the body exceeds {MAX_BODY} bytes")
     if int(request.headers.get("Content-Length", "0") or 0) > MAX_BODY:
         return too_large
@@ -99,7 +99,7 @@
 
 
 def read_repeat_key(request: Request, *, required: bool) -> RepeatKey | Malformed | None:
-    """Read the key of a request that must run at most once; none for one that may be repeated."""
+    """Read the key of a request that must run at most once; return None if it may be repeated."""
     marked = request.headers.get(REPEAT_HEADER, "").lower() == "never"
     if not marked and not required:
         return None
--- a/packages/node/src/vaneturn_node/http/rendering.py
+++ b/packages/node/src/vaneturn_node/http/rendering.py
@@ -8,7 +8,7 @@
 
 
 def render_prompt(messages: Sequence[ChatMessage]) -> str:
-    """Render a conversation as one text that ends where the answer begins."""
+    """Render a conversation as one text that the answer continues."""
     turns = [f"<|{message.role}|>\n{message.read_text()}\n" for message in messages]
     return "".join(turns) + "<|assistant|>\n"
 
--- a/packages/node/src/vaneturn_node/http/services.py
+++ b/packages/node/src/vaneturn_node/http/services.py
@@ -25,7 +25,7 @@
 CONNECT_TIMEOUT: Final = 1.0  # seconds
 MAX_TRIES: Final = 3
 RETRY_AFTER: Final = "Retry-After"
-BACKOFF: Final = 0.05  # seconds, times the number of tries before
+BACKOFF: Final = 0.05  # seconds, multiplied by the number of earlier tries
 _TURNED_AWAY: Final = (httpx.codes.TOO_MANY_REQUESTS, httpx.codes.SERVICE_UNAVAILABLE)
 _PASSED_HEADERS: Final = ("Accept", "Content-Type", "Idempotency-Key")
 # raised before any byte of the request was written
@@ -35,7 +35,7 @@
 
 
 async def call_service(request: Request, runtime: Runtime) -> Response:
-    """Pass a call to one of the service's servers."""
+    """Forward a call to one of the service's servers."""
     view = runtime.in_force.view
     customer = find_customer(request, view)
     if isinstance(customer, Malformed):
@@ -65,7 +65,7 @@
 
 
 class _ServiceCall:
-    """One call, with its retries where they are allowed."""
+    """One call, with retries where they are allowed."""
 
     def __init__(self, runtime: Runtime, service: Service, request: Request, call: Call, account: Account) -> None:
         self._runtime = runtime
@@ -95,7 +95,7 @@
         return outcome
 
     async def _try_servers(self, *, repeatable: bool) -> Outcome:
-        """Try servers in turn: after no run always, after an unknown run only if the call may be repeated."""
+        """Try servers in turn; after a try that may have run, only if the call may be repeated."""
         outcome: Outcome = NotRun(Reason.NO_ROUTE)
         rests = [self._runtime.healths.compute_remaining_rest(vm) for vm in self._service.servers]
         if rests and min(rests) > 0:
