--- a/packages/node/src/vaneturn_node/__main__.py
+++ b/packages/node/src/vaneturn_node/__main__.py
@@ -1,6 +1,6 @@
-"""The command vaneturn-node: one program with two faces, chosen by its settings.
+"""The command vaneturn-node: one program with two interfaces, the standalone one and that of the platform (--platform).
 
-Only the modules of the chosen face are imported: memory and start-up are dear on small VMs.
+Only the modules of the chosen interface are imported, to save memory and start-up time on small VMs.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
     if path is None:
         parser.error("--settings is needed")
     if not options.platform:
-        from vaneturn_node.daemon import run_node  # noqa: PLC0415 # the other face must not be imported
+        from vaneturn_node.daemon import run_node  # noqa: PLC0415 # only the chosen interface is imported
 
         return run_node(path, is_check=options.check)
     settings = load_traffic_settings(path)
     if isinstance(settings, Fault):
-        print(settings, file=sys.stderr)  # noqa: T201 # the one line an operator must see
+        print(settings, file=sys.stderr)  # noqa: T201 # the error message for the operator
         return EXIT_SETTINGS
     if not options.check:
-        from vaneturn_node.traffic.process.daemon import run_traffic_node  # noqa: PLC0415 # a check needs no traffic
+        from vaneturn_node.traffic.process.daemon import run_traffic_node  # noqa: PLC0415 # not needed for a check
 
         run_traffic_node(settings, path)
     return 0
--- a/packages/node/src/vaneturn_node/daemon.py
+++ b/packages/node/src/vaneturn_node/daemon.py
@@ -55,7 +55,7 @@
 from vaneturn_node.standalone.vms import HttpVmList
 
 EXIT_SETTINGS: Final = 2
-UNREADY_TIME: Final = 1.0  # seconds from unready to refusing, for the balancer to notice
+UNREADY_TIME: Final = 1.0  # seconds from unready to refusing, so that the load balancer can react
 VM_LIST_INTERVAL: Final = 2.0  # seconds
 MAX_CLIENT_CONNECTIONS: Final = 512
 
@@ -63,10 +63,10 @@
 
 
 def run_node(path: Path, *, is_check: bool) -> int:
-    """Run a node with the own interface until SIGTERM or SIGINT; gives the exit code."""
+    """Run a node with the standalone interface until SIGTERM or SIGINT; return the exit code."""
     settings = load_settings(path)
     if isinstance(settings, Fault):
-        print(settings, file=sys.stderr)  # noqa: T201 # the one line an operator must see
+        print(settings, file=sys.stderr)  # noqa: T201 # the error message for the operator
         return EXIT_SETTINGS
     if is_check:
         return 0
@@ -155,7 +155,7 @@
 
 
 async def _await_stop(runtime: Runtime, peers: Peers, stopped: anyio.Event) -> None:
-    """At a signal turn unready, refuse new requests after a moment, and stop when the last one has ended."""
+    """On a signal become unready, refuse new requests after UNREADY_TIME, and stop when the last one has ended."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for received in signals:
             logger.info("stopping", extra={"signal": received.name})
--- a/packages/node/src/vaneturn_node/logs.py
+++ b/packages/node/src/vaneturn_node/logs.py
@@ -15,11 +15,11 @@
 from vaneturn_core.identifiers import NodeId, VmId
 from vaneturn_node.clock import read_clock
 
-MAX_PER_SECOND: Final = 100  # records below warnings with one message
+MAX_PER_SECOND: Final = 100  # records with the same message and a level below WARNING
 
 
 class FloodFilter(logging.Filter):
-    """Lets so many records of one message through in a second, and says with the next one how many it held back."""
+    """Limits the records of each message per second; the next one states how many were suppressed."""
 
     def __init__(self, clock: Callable[[], float] = read_clock) -> None:
         super().__init__()
@@ -29,7 +29,7 @@
         self._held_back: Counter[str] = Counter()
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Tell whether a record is written."""
+        """Return whether a record is written."""
         second = int(self._clock())
         if second != self._second:
             self._second = second
@@ -46,13 +46,13 @@
 
 
 class DroppingHandler(logging.Handler):
-    """Writes lines to a descriptor that takes them at once, and drops the others: a reader that stalls stops no work.
+    """Writes lines to a file descriptor without blocking; drops those that it cannot accept while a reader stalls.
 
-    A pipe that polls as writable takes a line of 4,096 bytes whole.
+    A pipe that polls as writable accepts a line of up to 4,096 bytes whole.
     """
 
     def __init__(self, number: int) -> None:
-        """Write to an open descriptor."""
+        """Write to an open file descriptor."""
         super().__init__()
         self._number = number
         self._writable = select.poll()
@@ -60,7 +60,7 @@
         self._dropped = 0
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one line, with the number of those dropped before it."""
+        """Write one line, with the number of lines dropped before it."""
         if not self._writable.poll(0):
             self._dropped += 1
             return
@@ -70,11 +70,11 @@
         try:
             os.write(self._number, self.format(record).encode() + b"\n")
         except OSError:
-            self._dropped += 1  # the reader has gone; there is nowhere to say so
+            self._dropped += 1  # the reader has closed the pipe, so the error cannot be logged
 
 
 def configure_logs(level: str, vm: VmId, node: NodeId) -> None:
-    """Write every record as one JSON object a line to standard output."""
+    """Write each record as one line of JSON to standard output."""
     formatter = JsonFormatter(
         "{asctime}{levelname}{name}{message}",
         style="{",
--- a/packages/node/src/vaneturn_node/metrics.py
+++ b/packages/node/src/vaneturn_node/metrics.py
@@ -8,8 +8,8 @@
 
 from vaneturn_core.identifiers import ClassName, CustomerName
 
-# a customer beyond this many on one node shares the label "other", so that 1,000 customers cannot
-# multiply the series of a node; customers come back by affinity, thus each node sees the busy ones
+# customers beyond this number on a node share the label "other", so that 1,000 customers do not multiply
+# its time series; affinity brings customers back to the same node, so each node sees its busy ones
 MAX_CUSTOMER_LABELS: Final = 64
 OTHER_CUSTOMERS: Final = "other"
 
@@ -21,7 +21,7 @@
 
 
 class Metrics:
-    """Every metric that a node exports, in a registry of its own."""
+    """All metrics that a node exports, in a separate registry."""
 
     def __init__(self) -> None:
         self.registry = registry = CollectorRegistry()
@@ -63,7 +63,7 @@
         self.members = Gauge("vaneturn_members", "Nodes believed alive", registry=registry)
 
     def label_customer(self, customer: CustomerName) -> str:
-        """Give the bounded label of a customer."""
+        """Return the label of a customer, one of a bounded number."""
         if customer in self._customers:
             return customer
         if len(self._customers) >= MAX_CUSTOMER_LABELS:
@@ -72,7 +72,7 @@
         return customer
 
     def observe(self, histogram: Histogram, work_class: ClassName, customer: CustomerName, seconds: float) -> None:
-        """Observe a time under its class and customer."""
+        """Observe a duration with the labels of its class and customer."""
         histogram.labels(work_class, self.label_customer(customer)).observe(seconds)
 
 
--- a/packages/node/src/vaneturn_node/runtime.py
+++ b/packages/node/src/vaneturn_node/runtime.py
@@ -1,4 +1,4 @@
-"""The parts of a running node that its request handlers share."""
+"""The components of a running node that its request handlers share."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class Runtime:
-    """One instance for each process, made by the daemon."""
+    """The shared components; the daemon makes one instance per process."""
 
     settings: NodeSettings
     node: NodeId
@@ -54,7 +54,7 @@
 
 
 def open_account(runtime: Runtime, customer: Customer, target: str) -> Account:
-    """Open the account of a request that was read and checked."""
+    """Open the account of a request that was parsed and validated."""
     return Account(runtime.metrics, runtime.ended, runtime.settings.vm, customer, target)
 
 
--- a/packages/node/src/vaneturn_node/standalone/__init__.py
+++ b/packages/node/src/vaneturn_node/standalone/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters to the services of an installation of its own: key-value service and list of VMs."""
+"""Adapters to the services of a standalone installation: key-value service and list of VMs."""
--- a/packages/node/src/vaneturn_node/view.py
+++ b/packages/node/src/vaneturn_node/view.py
@@ -1,4 +1,4 @@
-"""What a node looks up for each request in the configuration in force."""
+"""Index of the configuration in force for the look-ups of each request."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         return self._customers.get(hashlib.sha256(key.encode()).hexdigest())
 
     def find_class(self, customer: Customer) -> WorkClass:
-        """Find the class of a customer; the cross-checks of the configuration guarantee it."""
+        """Find the class of a customer; the checks of the configuration guarantee that it exists."""
         return self._classes[ClassName(customer.work_class)]
 
     def find_pipeline(self, name: PipelineName) -> Pipeline | None:
@@ -36,7 +36,7 @@
         return self._services.get(name)
 
     def find_server(self, vm: VmId) -> Server | None:
-        """Find a server; none when it is not declared any more."""
+        """Find a server; return None if it is no longer declared."""
         return self._servers.get(vm)
 
     def list_pipelines(self) -> list[PipelineName]:
