--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,7 +8,7 @@
 
 from rig.installation import Installation
 
-settings.register_profile("same-verdict", derandomize=True, deadline=None)  # a run on any machine decides alike
+settings.register_profile("same-verdict", derandomize=True, deadline=None)  # the same examples on every machine
 settings.load_profile("same-verdict")
 
 
@@ -16,13 +16,13 @@
 
 
 def read_known_red() -> dict[str, str]:
-    """Read the tests that fail for a real fault not mended yet, with the cause."""
+    """Read the tests that fail because of a known fault, with the cause."""
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
     return {test: cause for test, _, cause in (line.partition(": ") for line in lines if line.strip())}
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Let just the listed tests fail without failing the run; what they did is reported."""
+    """Let only the listed tests fail without failing the run; their results are reported."""
     known = read_known_red()
     for item in items:
         if item.nodeid in known:
@@ -37,20 +37,20 @@
 
 @pytest.fixture
 def anyio_backend() -> str:
-    """The only event loop that the nodes run on."""
+    """The only event loop that the nodes support."""
     return "asyncio"
 
 
 @pytest.fixture
 def installation(tmp_path: Path) -> Iterator[Installation]:
-    """An installation without any process yet."""
+    """An installation without processes."""
     with Installation(tmp_path) as made:
         yield made
 
 
 @pytest.fixture
 def small(installation: Installation) -> Installation:
-    """Three stages with two servers each, one node, a plain service."""
+    """An installation with three stages of two servers each, one node and one plain service."""
     start_small(installation, 1)
     return installation
 
--- a/tests/node/test_caller.py
+++ b/tests/node/test_caller.py
@@ -1,4 +1,4 @@
-"""Short calls, and long answers that arrive over a slow link."""
+"""Short HTTP calls, and long answers that arrive over a slow link."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 async def test_long_answer_may_arrive_after_the_time_for_its_head() -> None:
-    """A value that was written at the end of a watch counted as a failure of the store, and was read once more."""
+    """A long value written at the end of a watch must not count as a failure of the store and be read again."""
     store, address = Store(body_time=0.8), ServerAddress(f"127.0.0.1:{find_port()}")
     arrival = Arrival(extra=1.0, silence=0.5)
     async with anyio.create_task_group() as tasks:
@@ -36,7 +36,7 @@
 
 
 async def test_answer_that_stops_arriving_is_given_up() -> None:
-    """Long before the time that a long answer may take in all."""
+    """The call fails after the silence limit, long before the total time limit of a long answer."""
 
     async def stop_halfway(exchange: Exchange) -> None:
         await exchange.begin(200, {"Content-Length": "50000"})
--- a/tests/node/test_gossip.py
+++ b/tests/node/test_gossip.py
@@ -1,4 +1,4 @@
-"""What rides on a datagram fits it, whatever the number of members."""
+"""A report fits into a datagram for any number of members."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 def test_answer_to_a_new_member_fits_a_datagram(count: int) -> None:
     table = MemberTable(make_member(0), Random(1), time.monotonic)
     while table.take_changes(1):
-        pass  # the node itself has been told of long ago
+        pass  # the node's own entry has already been reported
     table.merge([make_member(number) for number in range(1, count + 1)])
     gossip = Gossip(table, Sealer("a-key-that-is-long-enough"), [], lambda: Revision(1), Metrics())
     asker = make_member(1000)
--- a/tests/node/test_logs.py
+++ b/tests/node/test_logs.py
@@ -1,4 +1,4 @@
-"""A flood of one message does not hide the others and is counted."""
+"""Many records of one message are limited and counted, and do not affect other messages."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     read, write = os.pipe()
     handler = DroppingHandler(write)
     record = logging.LogRecord("n", logging.INFO, "p", 1, "x" * 1000, (), None)
-    for _ in range(200):  # more than a pipe holds
+    for _ in range(200):  # more than the buffer of a pipe
         handler.emit(record)
     os.read(read, 1 << 20)
     last = logging.LogRecord("n", logging.INFO, "p", 1, "last", (), None)
--- a/tests/system/test_leaving.py
+++ b/tests/system/test_leaving.py
@@ -1,4 +1,4 @@
-"""Servers and nodes that leave get no new work, and no answer in progress is cut."""
+"""Servers and nodes that leave get no new work, and answers in progress are completed."""
 
 from __future__ import annotations
 
--- a/tests/system/test_membership.py
+++ b/tests/system/test_membership.py
@@ -1,4 +1,4 @@
-"""Nodes find each other, notice who is gone, and take back who returns."""
+"""Nodes discover each other, detect lost members and accept members that return."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 def trio(installation: Installation) -> Installation:
     installation.start_platform()
     for index in range(3):
-        installation.start_node(f"entry-{index}", seeds=[])  # they meet through the key-value service alone
+        installation.start_node(f"entry-{index}", seeds=[])  # discovery through the key-value service only
     installation.wait_started()
     wait_until(lambda: count_members(installation, installation.nodes) == {3})
     return installation
--- a/tests/system/test_operators.py
+++ b/tests/system/test_operators.py
@@ -1,4 +1,4 @@
-"""Operators ask what runs where and why, and command, through the command line."""
+"""Operators query the state of the system and change it through the command line."""
 
 from __future__ import annotations
 
--- a/tests/system/test_overload.py
+++ b/tests/system/test_overload.py
@@ -1,4 +1,4 @@
-"""Beyond its bound the system refuses at once, says so, and what it refused was not run."""
+"""Under overload requests are refused immediately, the response says so, and refused requests did not run."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def start_narrow(installation: Installation) -> None:
-    """One server for each half, each good for 100 tokens a second."""
+    """Start one server for each half of the model, each with a capacity of 100 tokens per second."""
     installation.start_platform()
     for first, end in ((0, 6), (6, 12)):
         installation.start_engine(f"runner-{first}", first, end, "--token-seconds", "0.008", rate=100)
--- a/tests/system/test_path.py
+++ b/tests/system/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path of a request over real processes."""
+"""The whole path of a request through real processes."""
 
 from __future__ import annotations
 
--- a/tests/system/test_resume.py
+++ b/tests/system/test_resume.py
@@ -1,4 +1,4 @@
-"""A streamed answer goes on at another node after its own was lost, with nothing doubled and nothing missing."""
+"""A streamed answer resumes at another node after its node was lost, without duplicated or missing text."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def cut(installation: Installation, number: signal.Signals = signal.SIGKILL) -> Stream:
-    """Begin an answer at the first node and lose that node in the middle."""
+    """Begin an answer at the first node and stop that node in the middle."""
     with installation.stream(TEXT, max_tokens=TOKENS) as stream:
         stream.read(10)
         installation.processes["entry-1"].send(number)
@@ -66,7 +66,7 @@
 
 
 def test_resumed_answer_is_not_turned_away_when_the_pipeline_is_full(pair: Installation) -> None:
-    pair.declared["pipelines"][0]["token_time"] = 0.000001  # two answers at a time
+    pair.declared["pipelines"][0]["token_time"] = 0.000001  # capacity for two answers at a time
     pair.declared["classes"][0]["max_wait"] = 0
     pair.apply_everywhere()
     stream = cut(pair)
--- a/tests/system/test_soak.py
+++ b/tests/system/test_soak.py
@@ -1,4 +1,4 @@
-"""A short randomised run; `make soak` runs longer ones under any seed."""
+"""A short randomised run; `make soak` runs longer ones with any seed."""
 
 from __future__ import annotations
 
--- a/tests/system/test_whole.py
+++ b/tests/system/test_whole.py
@@ -1,4 +1,4 @@
-"""A caller gets the whole answer to its own request, or is told that it did not."""
+"""A caller gets the whole answer to its own request, or an error."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from rig.installation import CHAT_PATH, Installation, Stream, caller_headers, expect_text, make_chat, read_text
 from rig.measuring import read_memory, read_metric
 
-SMALL_BUFFER = 4096  # bytes that a slow reader's system takes in
+SMALL_BUFFER = 4096  # bytes; the receive buffer of the slow reader
 LONG = 3000  # tokens
 
 
