--- a/packages/node/src/vaneturn_node/http1/link.py
+++ b/packages/node/src/vaneturn_node/http1/link.py
@@ -15,8 +15,8 @@
 
 RECEIVE_BYTES: Final = 65536
 MAX_HEAD_BYTES: Final = 65536
-DEFAULT_IDLE_TIME: Final = 2.0  # seconds that servers keep an idle connection if they send no Keep-Alive timeout
-IDLE_MARGIN: Final = 0.8  # seconds subtracted from the Keep-Alive timeout, for the transit of the next request
+DEFAULT_IDLE_TIMEOUT_S: Final = 2.0  # servers without a Keep-Alive timeout keep an idle connection at least so long
+IDLE_MARGIN_S: Final = 0.8  # subtracted from the Keep-Alive timeout, for the transit of the next request
 
 
 class LinkError(Exception):
@@ -49,11 +49,11 @@
 
     def __init__(self, stream: SocketStream) -> None:
         self._stream = stream
-        self._socket_number: int = stream.extra(SocketAttribute.raw_socket).fileno()  # noqa: S610 # no query
+        self._socket_descriptor: int = stream.extra(SocketAttribute.raw_socket).fileno()  # noqa: S610 # no query
         self._protocol = h11.Connection(our_role=h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._was_sent = False
-        self._ahead: h11.Event | type[h11.PAUSED | h11.NEED_DATA] | None = None  # an event that was read ahead
-        self._idle_time = DEFAULT_IDLE_TIME
+        self._next_event: h11.Event | type[h11.PAUSED | h11.NEED_DATA] | None = None  # read ahead by wait_for_more()
+        self._idle_timeout = DEFAULT_IDLE_TIMEOUT_S
         self.idle_since = 0.0  # set by the pool
 
     @classmethod
@@ -102,7 +102,7 @@
         while True:
             event = await self._read_event(limit)
             if isinstance(event, h11.Response):
-                self._learn_idle_time(event.headers.raw_items())
+                self._update_idle_timeout(event.headers.raw_items())
                 return AnswerHead(event.status_code, [(name.lower(), value) for name, value in event.headers])
             if not isinstance(event, h11.InformationalResponse):
                 raise LinkError("connection ended before an answer", was_sent=True)
@@ -124,11 +124,11 @@
 
         :raises LinkError: nothing came in time, or the connection ended.
         """
-        self._ahead = await self._read_event(limit)
+        self._next_event = await self._read_event(limit)
 
     async def _read_event(self, limit: float) -> h11.Event | type[h11.PAUSED | h11.NEED_DATA]:
-        if self._ahead is not None:
-            event, self._ahead = self._ahead, None
+        if self._next_event is not None:
+            event, self._next_event = self._next_event, None
             return event
         while True:
             try:
@@ -148,14 +148,14 @@
                 raise LinkError("connection reset", was_sent=self._was_sent) from None
             self._protocol.receive_data(data)
 
-    def _learn_idle_time(self, headers: Sequence[tuple[bytes, bytes]]) -> None:
-        told = find_header([(name.lower(), value) for name, value in headers], b"keep-alive")
-        if told is None:
+    def _update_idle_timeout(self, headers: Sequence[tuple[bytes, bytes]]) -> None:
+        keep_alive = find_header([(name.lower(), value) for name, value in headers], b"keep-alive")
+        if keep_alive is None:
             return
-        for parameter in told.split(b","):
+        for parameter in keep_alive.split(b","):
             name, _, value = parameter.strip().partition(b"=")
             if name.lower() == b"timeout" and value.strip().isdigit():
-                self._idle_time = max(0.0, int(value) - IDLE_MARGIN)
+                self._idle_timeout = max(0.0, int(value) - IDLE_MARGIN_S)
 
     def finish(self) -> bool:
         """Prepare for the next exchange; return whether the connection can carry one."""
@@ -168,11 +168,11 @@
 
     def is_fresh(self, now: float, longest: float) -> bool:
         """Return whether an idle connection can carry another request: not idle too long, not closed, no stray data."""
-        if now - self.idle_since >= min(self._idle_time, longest):
+        if now - self.idle_since >= min(self._idle_timeout, longest):
             return False
-        readable = select.poll()
-        readable.register(self._socket_number, select.POLLIN)
-        return not readable.poll(0)
+        poller = select.poll()
+        poller.register(self._socket_descriptor, select.POLLIN)
+        return not poller.poll(0)
 
     async def abort(self) -> None:
         """Close immediately."""
--- a/packages/node/src/vaneturn_node/http1/messages.py
+++ b/packages/node/src/vaneturn_node/http1/messages.py
@@ -27,7 +27,7 @@
 
 def find_header(headers: Headers, name: bytes) -> bytes | None:
     """Find the value of the first header with a name."""
-    return next((value for one, value in headers if one == name), None)
+    return next((value for header, value in headers if header == name), None)
 
 
 def parse_decimal(value: bytes) -> float | None:
--- a/packages/node/src/vaneturn_node/http1/pool.py
+++ b/packages/node/src/vaneturn_node/http1/pool.py
@@ -10,9 +10,9 @@
 from vaneturn_node.clock import read_clock
 from vaneturn_node.http1.link import HttpLink
 
-CONNECT_TIME: Final = 0.3  # seconds; a healthy server accepts within a few milliseconds
-SWEEP_INTERVAL: Final = 1.0  # seconds
-MAX_IDLE_EACH: Final = 8  # idle connections kept to one address
+CONNECT_TIMEOUT_S: Final = 0.3  # a healthy server accepts within a few milliseconds
+SWEEP_INTERVAL_S: Final = 1.0
+MAX_IDLE_PER_ADDRESS: Final = 8  # idle connections kept to one address
 ANY_IDLE_TIME: Final = 60.0  # seconds; the Keep-Alive timeout of the server is the shorter limit
 
 
@@ -34,12 +34,12 @@
             if link.is_fresh(now, longest_idle):
                 return link
             await link.abort()
-        return await HttpLink.open(address, CONNECT_TIME)
+        return await HttpLink.open(address, CONNECT_TIMEOUT_S)
 
     async def put_back(self, link: HttpLink, address: str) -> None:
         """Return a connection whose exchange has ended to the pool, or close it."""
         idle = self._idle[address]
-        if len(idle) < MAX_IDLE_EACH and link.finish():
+        if len(idle) < MAX_IDLE_PER_ADDRESS and link.finish():
             link.idle_since = read_clock()
             idle.append(link)
             return
@@ -48,7 +48,7 @@
     async def run(self) -> None:
         """Close connections that were idle for too long, until cancelled."""
         while True:
-            await anyio.sleep(SWEEP_INTERVAL)
+            await anyio.sleep(SWEEP_INTERVAL_S)
             now = read_clock()
             for address, idle in list(self._idle.items()):
                 stale = [link for link in idle if not link.is_fresh(now, ANY_IDLE_TIME)]
--- a/packages/node/src/vaneturn_node/http1/server.py
+++ b/packages/node/src/vaneturn_node/http1/server.py
@@ -16,10 +16,10 @@
 from vaneturn_node.http1.messages import Headers, find_header
 
 RECEIVE_BYTES: Final = 65536
-MAX_AHEAD_BYTES: Final = 65536  # of pipelined requests that are read while one is answered
-LAST_LOOK: Final = 0.05  # seconds for a request to arrive that was sent before its client could see a planned stop
-LINGER_TIME: Final = 0.5  # seconds for a client to read the answer to a request that was not read whole
-HEADER_OVERHEAD: Final = 4  # bytes of a header line besides its name and value
+MAX_READ_AHEAD_BYTES: Final = 65536  # of pipelined requests that are read while one is answered
+FINAL_READ_TIMEOUT_S: Final = 0.05  # for a request that was sent before its client could see a planned stop
+LINGER_TIMEOUT_S: Final = 0.5  # for a client to read the answer to a request that was not read whole
+HEADER_OVERHEAD_BYTES: Final = 4  # of a header line, besides its name and value
 NO_BODY_STATUSES: Final = frozenset({204, 304})
 
 logger = logging.getLogger(__name__)
@@ -65,7 +65,7 @@
 
     async def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
         """Send an answer with a known body."""
-        framed = [*headers, *self._list_own_headers()]
+        framed = [*headers, *self._list_hop_headers()]
         if status not in NO_BODY_STATUSES:
             framed.append((b"content-length", str(len(body)).encode()))
         data = self._protocol.send(h11.Response(status_code=status, headers=framed)) or b""
@@ -78,7 +78,7 @@
 
     async def begin(self, status: int, headers: Headers) -> None:
         """Send the head of an answer of unknown length."""
-        data = self._protocol.send(h11.Response(status_code=status, headers=[*headers, *self._list_own_headers()]))
+        data = self._protocol.send(h11.Response(status_code=status, headers=[*headers, *self._list_hop_headers()]))
         self.is_begun = True
         await self._send(data or b"")
 
@@ -91,7 +91,7 @@
         await self._send(self._protocol.send(h11.EndOfMessage()) or b"")
         self.is_ended = True
 
-    def _list_own_headers(self) -> list[tuple[bytes, bytes]]:
+    def _list_hop_headers(self) -> list[tuple[bytes, bytes]]:
         self.closes = self.closes or self._is_stopping()
         return [(b"connection", b"close")] if self.closes else []
 
@@ -127,12 +127,12 @@
         self._idle_scopes = idle_scopes
         self._protocol = h11.Connection(our_role=h11.SERVER, max_incomplete_event_size=limits.header_bytes)
         self._is_stopping = is_stopping
-        self._has_left = False  # whether the client has disconnected
+        self._has_disconnected = False  # the client
 
     async def run(self) -> None:
         """Serve requests until the connection ends."""
         try:
-            while await self._serve_one():
+            while await self._serve_request():
                 pass
         except* (
             ClientLeftError,
@@ -145,7 +145,7 @@
             with anyio.CancelScope(shield=True):
                 await self._stream.aclose()
 
-    async def _serve_one(self) -> bool:
+    async def _serve_request(self) -> bool:
         try:
             request = await self._read_request()
         except h11.RemoteProtocolError as error:
@@ -159,7 +159,7 @@
         await self._answer(request, answer)
         if not answer.is_ended or self._protocol.our_state is not h11.DONE:
             return False
-        if self._has_left or answer.closes or self._is_stopping():
+        if self._has_disconnected or answer.closes or self._is_stopping():
             return False
         self._protocol.start_next_cycle()
         return True
@@ -173,16 +173,16 @@
 
     async def _watch_client(self, scope: anyio.CancelScope) -> None:
         """Read ahead to detect the end of the connection."""
-        ahead = 0
-        while ahead < MAX_AHEAD_BYTES:
+        read_ahead = 0
+        while read_ahead < MAX_READ_AHEAD_BYTES:
             data = await self._receive()
             if not data:
                 break
-            ahead += len(data)
+            read_ahead += len(data)
             self._protocol.receive_data(data)
         else:
             await anyio.sleep_forever()
-        self._has_left = True
+        self._has_disconnected = True
         scope.cancel()
 
     async def _receive(self) -> bytes:
@@ -193,7 +193,7 @@
 
     async def _read_request(self) -> ClientRequest | Rejection | None:
         """Read a whole request; return None if the client sends no more."""
-        if not self._protocol.trailing_data[0] and not await self._await_first_bytes():
+        if not self._protocol.trailing_data[0] and not await self._wait_for_request():
             return None
         arrived = read_clock()
         with anyio.move_on_after(self._limits.header_time):
@@ -203,7 +203,7 @@
             return await self._read_body(head, arrived)
         return Rejection(408, "the request took too long to arrive")
 
-    async def _await_first_bytes(self) -> bool:
+    async def _wait_for_request(self) -> bool:
         """Wait for a request; return false if none arrives.
 
         A planned stop cancels the wait. Closing immediately would cut off a request that arrived at the same moment and
@@ -213,12 +213,12 @@
         with anyio.CancelScope() as scope:
             self._idle_scopes.add(scope)
             try:
-                return await self._take_bytes(self._limits.idle_time)
+                return await self._receive_first_bytes(self._limits.idle_time)
             finally:
                 self._idle_scopes.discard(scope)
-        return await self._take_bytes(LAST_LOOK)
+        return await self._receive_first_bytes(FINAL_READ_TIMEOUT_S)
 
-    async def _take_bytes(self, limit: float) -> bool:
+    async def _receive_first_bytes(self, limit: float) -> bool:
         """Receive the first bytes; return false if none arrive in time or the client has disconnected."""
         with anyio.move_on_after(limit):
             data = await self._receive()
@@ -267,14 +267,14 @@
         body = rejection.reason.encode()
         await answer.send_whole(rejection.status, [(b"content-type", b"text/plain")], body)
         await self._stream.send_eof()
-        with anyio.move_on_after(LINGER_TIME):
+        with anyio.move_on_after(LINGER_TIMEOUT_S):
             while await self._receive():
                 pass
 
 
 def _check_framing(headers: Headers, limits: ClientLimits) -> Rejection | None:
     """Check sizes, and framing that a server could parse as another request than this node does (smuggling)."""
-    if sum(len(name) + len(value) + HEADER_OVERHEAD for name, value in headers) > limits.header_bytes:
+    if sum(len(name) + len(value) + HEADER_OVERHEAD_BYTES for name, value in headers) > limits.header_bytes:
         return Rejection(431, "the head is too long")
     length = find_header(headers, b"content-length")
     if length is not None and find_header(headers, b"transfer-encoding") is not None:
--- a/tests/rig/ablation.py
+++ b/tests/rig/ablation.py
@@ -86,7 +86,7 @@
         (
             Edit(
                 "node/src/vaneturn_node/http1/pool.py",
-                "if len(idle) < MAX_IDLE_EACH and link.finish():",
+                "if len(idle) < MAX_IDLE_PER_ADDRESS and link.finish():",
                 "if len(idle) < 0 and link.finish():",
             ),
         ),
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -99,7 +99,7 @@
             ),
             Edit(
                 "node/src/vaneturn_node/http1/link.py",
-                "        return not readable.poll(0)\n",
+                "        return not poller.poll(0)\n",
                 "        return True\n",
             ),
             Edit(f"{TRAFFIC}/serving/plain.py", "if facts.id is not None and facts.id != work.facts.id:", "if False:"),
@@ -127,8 +127,8 @@
         (
             Edit(
                 "node/src/vaneturn_node/http1/server.py",
-                "        self._has_left = True\n        scope.cancel()\n",
-                "        self._has_left = True\n",
+                "        self._has_disconnected = True\n        scope.cancel()\n",
+                "        self._has_disconnected = True\n",
             ),
         ),
     ),
@@ -396,7 +396,13 @@
     Proof(
         "a request that has arrived with the signal is read",
         f"{SYSTEM}/test_stopping.py::test_request_that_has_arrived_with_the_signal_is_served",
-        (Edit("node/src/vaneturn_node/http1/server.py", "return await self._take_bytes(LAST_LOOK)", "return False"),),
+        (
+            Edit(
+                "node/src/vaneturn_node/http1/server.py",
+                "return await self._receive_first_bytes(FINAL_READ_TIMEOUT_S)",
+                "return False",
+            ),
+        ),
     ),
     Proof(
         "newest values are read in place of changes that are too long",
