--- a/packages/node/src/vaneturn_node/http/services.py
+++ b/packages/node/src/vaneturn_node/http/services.py
@@ -19,7 +19,7 @@
 from vaneturn_node.http.accounting import Account
 from vaneturn_node.http.errors import answer_error
 from vaneturn_node.http.reading import Call, Malformed, find_customer, read_call
-from vaneturn_node.http1.messages import MAX_REST, parse_decimal
+from vaneturn_node.http1.messages import MAX_REST_S, parse_decimal
 from vaneturn_node.runtime import Runtime, open_account
 
 CONNECT_TIMEOUT: Final = 1.0  # seconds
@@ -148,7 +148,7 @@
         retry_after = response.headers.get(RETRY_AFTER)
         seconds = parse_decimal(retry_after.encode()) if retry_after is not None else None
         if response.status_code in _TURNED_AWAY and seconds is not None:
-            self._runtime.healths.record_rest(vm, min(seconds, MAX_REST))
+            self._runtime.healths.record_rest(vm, min(seconds, MAX_REST_S))
             logger.info("server asked for rest", extra={"vm": vm, "seconds": seconds})
         return Completed(response.status_code, response.headers.get("Content-Type", ""), response.content, retry_after)
 
--- a/packages/node/src/vaneturn_node/http1/caller.py
+++ b/packages/node/src/vaneturn_node/http1/caller.py
@@ -64,7 +64,7 @@
             head.append((b"content-type", b"application/json"))
         try:
             with anyio.fail_after(limit) as scope:
-                link = await self._pool.take(address)
+                link = await self._pool.acquire(address)
                 await link.send(method, target, head, body, limit)
                 answer = await link.read_head(limit)
                 if arrival is not None:
@@ -81,7 +81,7 @@
         except BaseException:
             await _abort(link)
             raise
-        await self._pool.put_back(link, address)
+        await self._pool.release(link, address)
         return Reply(answer.status, b"".join(parts))
 
 
--- a/packages/node/src/vaneturn_node/http1/link.py
+++ b/packages/node/src/vaneturn_node/http1/link.py
@@ -24,15 +24,15 @@
 
     :ivar was_sent: whether a part of the request may have been sent.
     :ivar is_refused: whether the connection was refused, as no process listens at the address.
-    :ivar is_silence: whether nothing arrived within the time limit, as from a server behind a network partition, or
-        this VM failed to connect for a local reason, such as a lack of file descriptors.
+    :ivar is_unresponsive: whether nothing arrived within the time limit, as behind a network partition, or this VM
+        failed to connect for a local reason, such as a lack of file descriptors.
     """
 
-    def __init__(self, cause: str, *, was_sent: bool, is_silence: bool = False, is_refused: bool = False) -> None:
+    def __init__(self, cause: str, *, was_sent: bool, is_unresponsive: bool = False, is_refused: bool = False) -> None:
         super().__init__(cause)
         self.cause = cause
         self.was_sent = was_sent
-        self.is_silence = is_silence
+        self.is_unresponsive = is_unresponsive
         self.is_refused = is_refused
 
 
@@ -67,12 +67,12 @@
             with anyio.fail_after(limit):
                 return cls(await anyio.connect_tcp(host, int(port)))
         except TimeoutError:
-            raise LinkError("connecting took too long", was_sent=False, is_silence=True) from None
+            raise LinkError("connecting took too long", was_sent=False, is_unresponsive=True) from None
         except OSError as error:
             causes = (error, error.__cause__)
             is_refused = any(isinstance(cause, ConnectionRefusedError | ConnectionResetError) for cause in causes)
             cause = f"connecting failed: {error}"
-            raise LinkError(cause, was_sent=False, is_refused=is_refused, is_silence=not is_refused) from None
+            raise LinkError(cause, was_sent=False, is_refused=is_refused, is_unresponsive=not is_refused) from None
 
     async def send(self, method: str, target: str, headers: Headers, body: bytes, limit: float) -> None:
         """Send a whole request.
@@ -90,7 +90,7 @@
             with anyio.fail_after(limit):
                 await self._stream.send(data)
         except TimeoutError:
-            raise LinkError("sending took too long", was_sent=True, is_silence=True) from None
+            raise LinkError("sending took too long", was_sent=True, is_unresponsive=True) from None
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             raise LinkError("connection lost while sending", was_sent=True) from None
 
@@ -141,7 +141,7 @@
                 with anyio.fail_after(limit):
                     data = await self._stream.receive(RECEIVE_BYTES)
             except TimeoutError:
-                raise LinkError("no bytes in time", was_sent=self._was_sent, is_silence=True) from None
+                raise LinkError("no bytes in time", was_sent=self._was_sent, is_unresponsive=True) from None
             except anyio.EndOfStream:
                 data = b""
             except (anyio.BrokenResourceError, anyio.ClosedResourceError):
@@ -166,9 +166,9 @@
         self._protocol.start_next_cycle()
         return True
 
-    def is_fresh(self, now: float, longest: float) -> bool:
+    def is_fresh(self, now: float, max_idle: float) -> bool:
         """Return whether an idle connection can carry another request: not idle too long, not closed, no stray data."""
-        if now - self.idle_since >= min(self._idle_timeout, longest):
+        if now - self.idle_since >= min(self._idle_timeout, max_idle):
             return False
         poller = select.poll()
         poller.register(self._socket_descriptor, select.POLLIN)
--- a/packages/node/src/vaneturn_node/http1/pool.py
+++ b/packages/node/src/vaneturn_node/http1/pool.py
@@ -13,7 +13,7 @@
 CONNECT_TIMEOUT_S: Final = 0.3  # a healthy server accepts within a few milliseconds
 SWEEP_INTERVAL_S: Final = 1.0
 MAX_IDLE_PER_ADDRESS: Final = 8  # idle connections kept to one address
-ANY_IDLE_TIME: Final = 60.0  # seconds; the Keep-Alive timeout of the server is the shorter limit
+MAX_IDLE_S: Final = 60.0  # the Keep-Alive timeout of the server is the shorter limit
 
 
 class LinkPool:
@@ -22,8 +22,8 @@
     def __init__(self) -> None:
         self._idle: defaultdict[str, list[HttpLink]] = defaultdict(list)
 
-    async def take(self, address: str, longest_idle: float = ANY_IDLE_TIME) -> HttpLink:
-        """Take a connection that was idle for less than `longest_idle` seconds, or open a new one.
+    async def acquire(self, address: str, max_idle: float = MAX_IDLE_S) -> HttpLink:
+        """Take a connection that was idle for less than `max_idle` seconds, or open a new one.
 
         :raises LinkError: no connection could be opened.
         """
@@ -31,12 +31,12 @@
         idle = self._idle[address]
         while idle:
             link = idle.pop()
-            if link.is_fresh(now, longest_idle):
+            if link.is_fresh(now, max_idle):
                 return link
             await link.abort()
         return await HttpLink.open(address, CONNECT_TIMEOUT_S)
 
-    async def put_back(self, link: HttpLink, address: str) -> None:
+    async def release(self, link: HttpLink, address: str) -> None:
         """Return a connection whose exchange has ended to the pool, or close it."""
         idle = self._idle[address]
         if len(idle) < MAX_IDLE_PER_ADDRESS and link.finish():
@@ -51,7 +51,7 @@
             await anyio.sleep(SWEEP_INTERVAL_S)
             now = read_clock()
             for address, idle in list(self._idle.items()):
-                stale = [link for link in idle if not link.is_fresh(now, ANY_IDLE_TIME)]
+                stale = [link for link in idle if not link.is_fresh(now, MAX_IDLE_S)]
                 self._idle[address] = [link for link in idle if link not in stale]
                 if not self._idle[address]:
                     del self._idle[address]
--- a/packages/node/src/vaneturn_node/http1/server.py
+++ b/packages/node/src/vaneturn_node/http1/server.py
@@ -59,7 +59,7 @@
         self._protocol = protocol
         self._method = method
         self._is_stopping = is_stopping
-        self.closes = False  # whether the connection closes after this answer
+        self.closes_connection = False  # whether the connection closes after this answer
         self.is_begun = False
         self.is_ended = False
 
@@ -92,8 +92,8 @@
         self.is_ended = True
 
     def _list_hop_headers(self) -> list[tuple[bytes, bytes]]:
-        self.closes = self.closes or self._is_stopping()
-        return [(b"connection", b"close")] if self.closes else []
+        self.closes_connection = self.closes_connection or self._is_stopping()
+        return [(b"connection", b"close")] if self.closes_connection else []
 
     async def _send(self, data: bytes) -> None:
         try:
@@ -159,7 +159,7 @@
         await self._answer(request, answer)
         if not answer.is_ended or self._protocol.our_state is not h11.DONE:
             return False
-        if self._has_disconnected or answer.closes or self._is_stopping():
+        if self._has_disconnected or answer.closes_connection or self._is_stopping():
             return False
         self._protocol.start_next_cycle()
         return True
--- a/packages/node/src/vaneturn_node/platform/directives.py
+++ b/packages/node/src/vaneturn_node/platform/directives.py
@@ -6,7 +6,7 @@
 
 from vaneturn_core.faults import Fault
 from vaneturn_core.traffic.directives import ServerDirectives
-from vaneturn_node.http1.messages import MAX_REST, Headers, parse_decimal
+from vaneturn_node.http1.messages import MAX_REST_S, Headers, parse_decimal
 
 RATE_LIMIT: Final = b"server-limit"
 LEAVING: Final = b"server-leaving"
@@ -23,9 +23,9 @@
         faults.append(Fault("Server-Limit", f"more than 0, at most {MAX_RATE:.0f} requests a second"))
         rate = None
     rest = _read_decimal(headers, RETRY_AFTER, faults) if status in TURNED_AWAY else None
-    if rest is not None and rest > MAX_REST:
-        faults.append(Fault("Retry-After", f"at most {MAX_REST:.0f} seconds"))
-        rest = MAX_REST
+    if rest is not None and rest > MAX_REST_S:
+        faults.append(Fault("Retry-After", f"at most {MAX_REST_S:.0f} seconds"))
+        rest = MAX_REST_S
     leaving = _list_values(headers, LEAVING)
     if leaving not in ([], [b"1"]):
         faults.append(Fault("Server-Leaving", "1"))
--- a/packages/node/src/vaneturn_node/traffic/servers/exchange.py
+++ b/packages/node/src/vaneturn_node/traffic/servers/exchange.py
@@ -159,7 +159,7 @@
         """Keep a connection whose exchange ended as it should, and close any other at once."""
         with anyio.CancelScope(shield=True):
             if is_whole:
-                await self.pool.put_back(link, address)
+                await self.pool.release(link, address)
             else:
                 await link.abort()
 
--- a/packages/node/src/vaneturn_node/traffic/serving/answering.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/answering.py
@@ -151,7 +151,7 @@
             await answer.send_whole(result.status, build_client_headers(result.headers), result.body)
             return f"status {result.status}"
         # an open connection stays with its node: the client's next one goes to a node that is ready
-        answer.closes = answer.closes or not self._parts.view.is_ready()
+        answer.closes_connection = answer.closes_connection or not self._parts.view.is_ready()
         headers = [(b"content-type", b"application/json")]
         if result.retry_after is not None:
             headers.append((RETRY_AFTER, f"{result.retry_after:.2f}".encode()))
--- a/packages/node/src/vaneturn_node/traffic/serving/plain.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/plain.py
@@ -12,7 +12,7 @@
 from vaneturn_core.traffic.servers import BackendServer
 from vaneturn_node.clock import read_clock
 from vaneturn_node.http1.link import HttpLink, LinkError
-from vaneturn_node.http1.pool import ANY_IDLE_TIME
+from vaneturn_node.http1.pool import MAX_IDLE_S
 from vaneturn_node.platform.headers import build_server_headers, read_answer_facts
 from vaneturn_node.traffic.servers.exchange import TrafficParts
 from vaneturn_node.traffic.serving.outcomes import Answered, MayHaveRun, NotRun, OwnAnswer, Reason, TryOutcome, refuse
@@ -127,8 +127,8 @@
         is_whole = False
         try:
             with anyio.fail_after(limit):
-                longest = ANY_IDLE_TIME if work.route.may_repeat else UNSAFE_IDLE
-                link = await self._parts.pool.take(server.address, longest)
+                longest = MAX_IDLE_S if work.route.may_repeat else UNSAFE_IDLE
+                link = await self._parts.pool.acquire(server.address, longest)
                 obstacle = work.find_obstacle(self._parts.beliefs[server.id])
                 if obstacle is not None:
                     return NotRun(obstacle)
@@ -144,7 +144,7 @@
             if not error.was_sent:
                 return NotRun(error.cause, is_silent=True)
             work.runs += 1
-            if not error.is_silence:
+            if not error.is_unresponsive:
                 await self._parts.crash_watch.note_cut(server, work.content, Suspicion.UNHEARD)
             return MayHaveRun(error.cause)
         finally:
--- a/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
@@ -117,7 +117,7 @@
         work.sends += 1
         self._client.pace.mark(Stage.WENT_ON, read_clock())
         self._hold.take()
-        self._link = link = await self._parts.pool.take(self._first.address)
+        self._link = link = await self._parts.pool.acquire(self._first.address)
         obstacle = work.find_obstacle(self._parts.beliefs[self._first.id])
         if obstacle is not None:
             return NotRun(obstacle)
@@ -173,12 +173,12 @@
     async def _note_lost(self, error: LinkError) -> TryOutcome:
         """Decide what a lost connection says of the first server, and of the request."""
         self._work.avoided.add(self._first.id)
-        if not error.is_silence or await self._parts.hears_others({self._first.id}, self._hold.taken_at):
+        if not error.is_unresponsive or await self._parts.hears_others({self._first.id}, self._hold.taken_at):
             self._parts.note_lost(self._first.id)
         if not error.was_sent:
             return NotRun(error.cause, is_silent=True)
         self._hold.count_run()
-        if not error.is_silence and await self._parts.crash_watch.note_cut(
+        if not error.is_unresponsive and await self._parts.crash_watch.note_cut(
             self._first, self._work.content, self._suspicion
         ):
             self._hold.uncount_run()
@@ -194,7 +194,7 @@
             try:
                 return await read(wait)
             except LinkError as error:
-                if not error.is_silence:
+                if not error.is_unresponsive:
                     raise
             if self._work.left <= 0:
                 self._hold.count_run()
--- a/tests/node/traffic/test_directives.py
+++ b/tests/node/traffic/test_directives.py
@@ -5,7 +5,7 @@
 import pytest
 
 from vaneturn_core.traffic.directives import ServerDirectives
-from vaneturn_node.http1.messages import MAX_REST
+from vaneturn_node.http1.messages import MAX_REST_S
 from vaneturn_node.platform.directives import read_directives
 
 
@@ -43,7 +43,7 @@
 
 def test_endless_rest_is_bounded_and_reported() -> None:
     directives = read_directives(503, [(b"retry-after", b"999999999")])
-    assert directives.rest == MAX_REST
+    assert directives.rest == MAX_REST_S
     assert directives.faults
 
 
--- a/tests/node/traffic/test_suspension.py
+++ b/tests/node/traffic/test_suspension.py
@@ -139,14 +139,14 @@
     suspension = Suspension(monkeypatch)
     async with open_here(tmp_path) as here:
         servers = await here.traffic.add_chains()
-        report = await here.node._pool.take(servers[0].address)
+        report = await here.node._pool.acquire(servers[0].address)
         await report.send("GET", "/api/report", [(b"host", b"x")], b"", 1.0)
         await report.read_head(1.0)
         while await report.read_data(1.0) is not None:
             pass
-        await here.node._pool.put_back(report, servers[0].address)
+        await here.node._pool.release(report, servers[0].address)
         suspension.seconds = 100.0
-        assert await here.node._pool.take(servers[0].address) is not report
+        assert await here.node._pool.acquire(servers[0].address) is not report
 
 
 async def test_suspension_is_told_once(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/rig/ablation.py
+++ b/tests/rig/ablation.py
@@ -94,7 +94,7 @@
     Mechanism(
         "idle-bound",
         "a request that may not run twice lost on a connection that the server forgot",
-        (Edit(f"{TRAFFIC}/serving/plain.py", "longest = ANY_IDLE_TIME if work.route.may_repeat else", "longest ="),),
+        (Edit(f"{TRAFFIC}/serving/plain.py", "longest = MAX_IDLE_S if work.route.may_repeat else", "longest ="),),
     ),
     Mechanism(
         "retry-shares",
