--- a/packages/node/src/vaneturn_node/http1/caller.py
+++ b/packages/node/src/vaneturn_node/http1/caller.py
@@ -31,12 +31,12 @@
 
 
 @dataclass(slots=True)
-class Arrival:
+class BodyArrival:
     """Time limits of a long answer, and the time when its last bytes arrived."""
 
-    extra: float  # seconds added to the limit of a call once its answer has begun; infinite if only `silence` limits it
-    silence: float  # seconds without a byte after which the call fails
-    at: float = float("-inf")  # monotonic time when bytes of a body last arrived
+    extra_time: float  # seconds added to the limit once an answer has begun; infinite if only stall_timeout limits it
+    stall_timeout: float  # seconds without a byte after which the call fails
+    last_data_at: float = float("-inf")  # monotonic time when bytes of a body last arrived
 
 
 class Caller:
@@ -54,7 +54,7 @@
         *,
         body: bytes = b"",
         headers: Headers = (),
-        arrival: Arrival | None = None,
+        arrival: BodyArrival | None = None,
     ) -> Reply | Failed:
         """Call a server; the limit in seconds covers the whole call, and `arrival` extends it for a long answer."""
         link: HttpLink | None = None
@@ -68,7 +68,7 @@
                 await link.send(method, target, head, body, limit)
                 answer = await link.read_head(limit)
                 if arrival is not None:
-                    scope.deadline += arrival.extra
+                    scope.deadline += arrival.extra_time
                 await _read_body(link, limit, arrival, parts)
         except TimeoutError:
             await _abort(link)
@@ -85,11 +85,11 @@
         return Reply(answer.status, b"".join(parts))
 
 
-async def _read_body(link: HttpLink, limit: float, arrival: Arrival | None, parts: list[bytes]) -> None:
-    while (data := await link.read_data(limit if arrival is None else arrival.silence)) is not None:
+async def _read_body(link: HttpLink, limit: float, arrival: BodyArrival | None, parts: list[bytes]) -> None:
+    while (data := await link.read_data(limit if arrival is None else arrival.stall_timeout)) is not None:
         parts.append(data)
         if arrival is not None:
-            arrival.at = read_clock()
+            arrival.last_data_at = read_clock()
 
 
 async def _abort(link: HttpLink | None) -> None:
@@ -99,4 +99,4 @@
         await link.abort()
 
 
-__all__ = ["Arrival", "Caller", "Failed", "Reply"]
+__all__ = ["BodyArrival", "Caller", "Failed", "Reply"]
--- a/packages/node/src/vaneturn_node/platform/store.py
+++ b/packages/node/src/vaneturn_node/platform/store.py
@@ -12,7 +12,7 @@
 from msgspec import Struct
 
 from vaneturn_core.traffic.servers import ServerAddress
-from vaneturn_node.http1.caller import Arrival, Caller, Failed, Reply
+from vaneturn_node.http1.caller import BodyArrival, Caller, Failed, Reply
 
 CALL_TIME: Final = 1.0  # seconds; the store answers in milliseconds when it is sound
 WATCH_MARGIN: Final = 0.5  # seconds beyond a watch's wait to the answer's head
@@ -141,7 +141,7 @@
         return item if isinstance(item, NotDone) else _convert_item(item)
 
     async def watch(
-        self, prefix: str, revision: int, wait: float, arrival: Arrival | None = None
+        self, prefix: str, revision: int, wait: float, arrival: BodyArrival | None = None
     ) -> StorePage | HistoryGone | WatchTooLong | NotDone:
         """Wait for changes after a revision, at most some seconds; a long answer notes that it is arriving.
 
@@ -200,10 +200,10 @@
 
     async def _read(self, target: str) -> Reply | NotDone | MaybeDone:
         """Read values, for as long as they are arriving: there is nothing shorter to ask for in their place."""
-        return await self._call("GET", target, arrival=Arrival(math.inf, SILENCE))
+        return await self._call("GET", target, arrival=BodyArrival(math.inf, SILENCE))
 
     async def _call(
-        self, method: str, target: str, limit: float = CALL_TIME, body: bytes = b"", arrival: Arrival | None = None
+        self, method: str, target: str, limit: float = CALL_TIME, body: bytes = b"", arrival: BodyArrival | None = None
     ) -> Reply | NotDone | MaybeDone:
         reply = await self._caller.call(self._address, method, target, limit, body=body, arrival=arrival)
         if isinstance(reply, Failed):
--- a/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/changeserver.py
@@ -17,7 +17,7 @@
 from vaneturn_core.traffic.relays import RelayTimes
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.clock import read_clock
-from vaneturn_node.http1.caller import Arrival
+from vaneturn_node.http1.caller import BodyArrival
 from vaneturn_node.http1.server import ClientAnswer, ClientRequest
 from vaneturn_node.platform.store import BODY_TIME, SILENCE
 from vaneturn_node.traffic.servers.permits import PERMITS_PATH, Permits
@@ -68,7 +68,7 @@
         self._asked_at = float("-inf")
         self._packed = b""  # the loads of all nodes
         self._packed_at = float("-inf")
-        self.arrival = Arrival(BODY_TIME, SILENCE)  # of the store's answers to this node's watch
+        self.arrival = BodyArrival(BODY_TIME, SILENCE)  # of the store's answers to this node's watch
 
     def is_asked(self) -> bool:
         """Tell whether nodes ask this one."""
@@ -147,7 +147,7 @@
         return False
 
     def _is_arriving(self) -> bool:
-        return read_clock() - self.arrival.at < ARRIVING_TIME
+        return read_clock() - self.arrival.last_data_at < ARRIVING_TIME
 
     def _has_news(self, confirmed_at: float, losses: int) -> bool:
         """Tell whether there is a newer confirmation, trouble, or a loss beside a word that the asker may still take.
--- a/tests/node/test_caller.py
+++ b/tests/node/test_caller.py
@@ -11,7 +11,7 @@
 from standins.platform.store import Store
 from standins.platform.wire import Exchange, serve
 from vaneturn_core.traffic.servers import ServerAddress
-from vaneturn_node.http1.caller import Arrival, Caller
+from vaneturn_node.http1.caller import BodyArrival, Caller
 from vaneturn_node.http1.pool import LinkPool
 from vaneturn_node.platform.store import NotDone, PlatformStore, StorePage, WatchTooLong
 
@@ -23,7 +23,7 @@
 async def test_long_answer_may_arrive_after_the_time_for_its_head() -> None:
     """A long value written at the end of a watch must not count as a failure of the store and be read again."""
     store, address = Store(body_time=0.8), ServerAddress(f"127.0.0.1:{find_port()}")
-    arrival = Arrival(extra=1.0, silence=0.5)
+    arrival = BodyArrival(extra_time=1.0, stall_timeout=0.5)
     async with anyio.create_task_group() as tasks:
         await store.listen(address, tasks)
         store.put("op/config", b"x" * 50_000)
@@ -31,12 +31,12 @@
         page = await PlatformStore(Caller(LinkPool()), address).watch("", 1, WAIT, arrival)
         assert isinstance(page, StorePage)
         assert [len(item.value or b"") for item in page.items] == [50_000]
-        assert began < arrival.at <= time.monotonic()
+        assert began < arrival.last_data_at <= time.monotonic()
         tasks.cancel_scope.cancel()
 
 
 async def test_answer_that_stops_arriving_is_given_up() -> None:
-    """The call fails after the silence limit, long before the total time limit of a long answer."""
+    """The call fails after the stall timeout, long before the total time limit of a long answer."""
 
     async def stop_halfway(exchange: Exchange) -> None:
         await exchange.begin(200, {"Content-Length": "50000"})
@@ -48,7 +48,7 @@
         await serve(address, stop_halfway, tasks)
         with anyio.fail_after(5.0):
             store = PlatformStore(Caller(LinkPool()), address)
-            assert isinstance(await store.watch("", 1, WAIT, Arrival(extra=30.0, silence=0.2)), NotDone)
+            assert isinstance(await store.watch("", 1, WAIT, BodyArrival(extra_time=30.0, stall_timeout=0.2)), NotDone)
         tasks.cancel_scope.cancel()
 
 
@@ -57,6 +57,8 @@
     async with anyio.create_task_group() as tasks:
         await store.listen(address, tasks)
         store.put("op/config", b"x" * 50_000)
-        page = await PlatformStore(Caller(LinkPool()), address).watch("", 1, WAIT, Arrival(extra=0.2, silence=0.5))
+        page = await PlatformStore(Caller(LinkPool()), address).watch(
+            "", 1, WAIT, BodyArrival(extra_time=0.2, stall_timeout=0.5)
+        )
         assert isinstance(page, WatchTooLong)
         tasks.cancel_scope.cancel()
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -412,7 +412,7 @@
     Proof(
         "values are read for as long as they arrive",
         f"{SYSTEM}/test_catchup.py::test_node_reads_the_longest_value_over_the_slowest_link",
-        (Edit(f"{PLATFORM}/store.py", "Arrival(math.inf, SILENCE)", "Arrival(0.0, SILENCE)"),),
+        (Edit(f"{PLATFORM}/store.py", "BodyArrival(math.inf, SILENCE)", "BodyArrival(0.0, SILENCE)"),),
     ),
     Proof(
         "the next nodes stand in for relays that were left",
