--- a/packages/node/src/vaneturn_node/peers/gossip.py
+++ b/packages/node/src/vaneturn_node/peers/gossip.py
@@ -16,16 +16,16 @@
 from vaneturn_core.membership.member import Member
 from vaneturn_core.membership.table import MemberTable
 from vaneturn_node.metrics import Metrics
-from vaneturn_node.peers.messages import DATAGRAMS, ENCODER, Ack, Datagram, Ping, PingFor, Telling
+from vaneturn_node.peers.messages import DATAGRAM_DECODER, ENCODER, Ack, Datagram, GossipReport, Ping, PingFor
 from vaneturn_node.peers.seal import Sealer
 
-PERIOD: Final = 1.0  # seconds between probes of a node
-ACK_TIMEOUT: Final = 0.3  # seconds to wait for a direct ack
-INDIRECT_TIMEOUT: Final = 0.5  # additional seconds to wait for an ack through a helper
-HELPERS: Final = 3
-MAX_TELLINGS: Final = 8  # members in one datagram, which stays under 1,200 bytes
+PROBE_PERIOD_S: Final = 1.0  # between probes of a node
+ACK_TIMEOUT_S: Final = 0.3  # for a direct ack
+INDIRECT_TIMEOUT_S: Final = 0.5  # additional time for an ack through a helper
+HELPER_COUNT: Final = 3
+MAX_REPORTED_MEMBERS: Final = 8  # members in one datagram, which stays under 1,200 bytes
 FANOUT: Final = 4  # members that get an immediate report of a newer configuration or a leaving server
-REJOIN_PERIOD: Final = 10.0  # seconds between pings of a seed or a dead member, which heal a network partition
+REJOIN_PERIOD_S: Final = 10.0  # between pings of a seed or a dead member, which heal a network partition
 
 logger = logging.getLogger(__name__)
 
@@ -47,10 +47,10 @@
         self._read_revision = read_revision
         self._metrics = metrics
         self._numbers = itertools.count(1)
-        self._acks: dict[int, anyio.Event] = {}
+        self._pending_acks: dict[int, anyio.Event] = {}
         self._leaving: frozenset[VmId] = frozenset()
         self._tasks: TaskGroup | None = None
-        self._sending = anyio.Lock()
+        self._send_lock = anyio.Lock()
         self._newer_listeners: list[Callable[[Revision, str], None]] = []
         self._leaving_listeners: list[Callable[[VmId], None]] = []
 
@@ -92,14 +92,14 @@
     async def announce(self) -> None:
         """Report to some members immediately; they pass the report on."""
         for member in self.table.pick_random_peers(self.table.own.node, FANOUT):
-            await self._send(member.address, Ping(next(self._numbers), self._tell()))
+            await self._send(member.address, Ping(next(self._numbers), self._make_report()))
 
     def announce_soon(self) -> None:
         """Report to some members from a separate task."""
         if self._tasks is not None:
             self._tasks.start_soon(self.announce)
 
-    def tell_leaving(self, vms: frozenset[VmId]) -> None:
+    def report_leaving(self, vms: frozenset[VmId]) -> None:
         """Report from now on that these servers are leaving."""
         if vms - self._leaving:
             self.announce_soon()
@@ -113,36 +113,36 @@
             if target is not None and not await self._is_alive(target):
                 logger.info("member does not answer", extra={"member": target.node, "member_vm": target.vm})
                 self.table.suspect(target.node)
-            await anyio.sleep(PERIOD * random.uniform(0.9, 1.1))
+            await anyio.sleep(PROBE_PERIOD_S * random.uniform(0.9, 1.1))
 
     async def _is_alive(self, target: Member) -> bool:
         number = next(self._numbers)
-        acked = self._acks[number] = anyio.Event()
+        acked = self._pending_acks[number] = anyio.Event()
         try:
-            await self._send(target.address, Ping(number, self._tell()))
-            with anyio.move_on_after(ACK_TIMEOUT):
+            await self._send(target.address, Ping(number, self._make_report()))
+            with anyio.move_on_after(ACK_TIMEOUT_S):
                 await acked.wait()
             if acked.is_set():
                 return True
-            for helper in self.table.pick_random_peers(target.node, HELPERS):
-                await self._send(helper.address, PingFor(number, target.address, self._tell()))
-            with anyio.move_on_after(INDIRECT_TIMEOUT):
+            for helper in self.table.pick_random_peers(target.node, HELPER_COUNT):
+                await self._send(helper.address, PingFor(number, target.address, self._make_report()))
+            with anyio.move_on_after(INDIRECT_TIMEOUT_S):
                 await acked.wait()
             return acked.is_set()
         finally:
-            del self._acks[number]
+            del self._pending_acks[number]
 
     async def _rejoin(self) -> None:
         """Ping a seed or a dead member periodically; more often until the first peer is known."""
         while True:
-            known = {member.address for member in self.table.list_alive()}
+            alive_addresses = {member.address for member in self.table.list_alive()}
             dead = [member.address for member in self.table.list_dead()]
-            candidates = [address for address in (*self._seeds, *dead) if address not in known]
+            candidates = [address for address in (*self._seeds, *dead) if address not in alive_addresses]
             if candidates:
-                telling = self._tell()
-                introduced = msgspec.structs.replace(telling, members=[self.table.own, *telling.members])
-                await self._send(random.choice(candidates), Ping(next(self._numbers), introduced))
-            await anyio.sleep(REJOIN_PERIOD if self.table.list_peers() else PERIOD / 4)
+                report = self._make_report()
+                introduction = msgspec.structs.replace(report, members=[self.table.own, *report.members])
+                await self._send(random.choice(candidates), Ping(next(self._numbers), introduction))
+            await anyio.sleep(REJOIN_PERIOD_S if self.table.list_peers() else PROBE_PERIOD_S / 4)
 
     async def _receive(self, socket: UDPSocket, tasks: TaskGroup) -> None:
         async for message, _ in socket:
@@ -152,57 +152,61 @@
                 self._metrics.dropped.labels("seal").inc()
                 continue
             try:
-                datagram = DATAGRAMS.decode(payload)
+                datagram = DATAGRAM_DECODER.decode(payload)
             except msgspec.DecodeError:
                 self._metrics.dropped.labels("datagram").inc()
                 continue
-            await self._take(datagram, tasks)
+            await self._handle_datagram(datagram, tasks)
 
-    async def _take(self, datagram: Datagram, tasks: TaskGroup) -> None:
-        self._listen(datagram.telling)
+    async def _handle_datagram(self, datagram: Datagram, tasks: TaskGroup) -> None:
+        self._process_report(datagram.report)
         match datagram:
-            case Ping(number, telling):
-                await self._send(telling.sender, Ack(number, self._tell(telling)))
+            case Ping(number, report):
+                await self._send(report.sender, Ack(number, self._make_report(report)))
             case Ack(number):
-                acked = self._acks.get(number)
+                acked = self._pending_acks.get(number)
                 if acked is not None:
                     acked.set()
-            case PingFor(number, target, telling):
-                tasks.start_soon(self._ping_for, number, target, telling.sender)
+            case PingFor(number, target, report):
+                tasks.start_soon(self._ping_for, number, target, report.sender)
 
-    async def _ping_for(self, number: int, target: str, asker: str) -> None:
+    async def _ping_for(self, number: int, target: str, requester: str) -> None:
         own_number = next(self._numbers)
-        acked = self._acks[own_number] = anyio.Event()
-        await self._send(target, Ping(own_number, self._tell()))
-        with anyio.move_on_after(INDIRECT_TIMEOUT):
+        acked = self._pending_acks[own_number] = anyio.Event()
+        await self._send(target, Ping(own_number, self._make_report()))
+        with anyio.move_on_after(INDIRECT_TIMEOUT_S):
             await acked.wait()
-            await self._send(asker, Ack(number, self._tell()))
-        del self._acks[own_number]
+            await self._send(requester, Ack(number, self._make_report()))
+        del self._pending_acks[own_number]
 
-    def _listen(self, telling: Telling) -> None:
-        self.table.merge(telling.members)
-        if telling.revision > self._read_revision():
+    def _process_report(self, report: GossipReport) -> None:
+        self.table.merge(report.members)
+        if report.revision > self._read_revision():
             for newer_listener in self._newer_listeners:
-                newer_listener(telling.revision, telling.sender)
-        for vm in telling.leaving:
+                newer_listener(report.revision, report.sender)
+        for vm in report.leaving:
             for leaving_listener in self._leaving_listeners:
                 leaving_listener(vm)
 
-    def _tell(self, asked: Telling | None = None) -> Telling:
+    def _make_report(self, received: GossipReport | None = None) -> GossipReport:
         """Make the report of a datagram; the answer to a node that introduces itself also includes some members."""
         own = self.table.own
-        members = self.table.take_changes(MAX_TELLINGS)
-        if asked is not None and own not in members and any(member.address == asked.sender for member in asked.members):
-            others = self.table.pick_random_peers(own.node, max(0, MAX_TELLINGS - len(members) - 1))
+        members = self.table.take_changes(MAX_REPORTED_MEMBERS)
+        if (
+            received is not None
+            and own not in members
+            and any(member.address == received.sender for member in received.members)
+        ):
+            others = self.table.pick_random_peers(own.node, max(0, MAX_REPORTED_MEMBERS - len(members) - 1))
             members = [*members, own, *(other for other in others if other not in members)]
-        return Telling(self._read_revision(), own.address, members, sorted(self._leaving))
+        return GossipReport(self._read_revision(), own.address, members, sorted(self._leaving))
 
     async def _send(self, address: str, datagram: Datagram) -> None:
         message = self._sealer.seal(ENCODER.encode(datagram))
         host, _, port = address.rpartition(":")
         self._metrics.peer_bytes.labels("sent").inc(len(message))
         try:
-            async with self._sending:  # the socket supports one writer at a time
+            async with self._send_lock:  # the socket supports one writer at a time
                 await self._socket.sendto(message, host, int(port))
         except OSError as error:
             logger.info("datagram not sent", extra={"address": address, "cause": repr(error)})
--- a/packages/node/src/vaneturn_node/peers/meeting.py
+++ b/packages/node/src/vaneturn_node/peers/meeting.py
@@ -17,17 +17,17 @@
 
 MEETING_KEY: Final = "vaneturn/meeting"
 MAX_ADDRESSES: Final = 16
-RETRY: Final = 1.0  # seconds
-TRIES: Final = 30
-INTRODUCE_TIMEOUT: Final = 0.5  # seconds
+RETRY_INTERVAL_S: Final = 1.0
+MAX_TRIES: Final = 30
+INTRODUCE_TIMEOUT_S: Final = 0.5
 
 logger = logging.getLogger(__name__)
 
 
-async def join_meeting(store: KeyValueService, gossip: Gossip) -> None:
+async def discover_peers(store: KeyValueService, gossip: Gossip) -> None:
     """Read the addresses through which to join, and add the own one for nodes that start later."""
     own = gossip.table.own.address
-    for _ in range(TRIES):
+    for _ in range(MAX_TRIES):
         entry = await store.read(MEETING_KEY)
         if isinstance(entry, Entry):
             addresses = msgspec.json.decode(entry.value, type=list[str]) if entry.value else []
@@ -38,7 +38,7 @@
                 return
         elif isinstance(entry, Unavailable):
             logger.info("list of peer addresses not available", extra={"cause": entry.cause})
-        await anyio.sleep(RETRY)
+        await anyio.sleep(RETRY_INTERVAL_S)
 
 
 class Introducer:
@@ -50,8 +50,8 @@
 
     async def __call__(self, address: str) -> Member | None:
         """Ask which node has a peer address; return None without an answer."""
-        answer = await self._client.ask(address, Introduce(self._table.own), INTRODUCE_TIMEOUT)
+        answer = await self._client.ask(address, Introduce(self._table.own), INTRODUCE_TIMEOUT_S)
         return answer.member if isinstance(answer, Introduction) else None
 
 
-__all__ = ["Introducer", "join_meeting"]
+__all__ = ["Introducer", "discover_peers"]
--- a/packages/node/src/vaneturn_node/peers/messages.py
+++ b/packages/node/src/vaneturn_node/peers/messages.py
@@ -12,7 +12,7 @@
 from vaneturn_core.membership.member import Member
 
 
-class Telling(Struct, frozen=True, array_like=True):
+class GossipReport(Struct, frozen=True, array_like=True):
     """The state that every datagram carries."""
 
     revision: Revision  # of the configuration in force at the sender
@@ -25,14 +25,14 @@
     """Ask a node whether it is alive."""
 
     number: int
-    telling: Telling
+    report: GossipReport
 
 
 class Ack(Struct, frozen=True, tag=2, array_like=True):
     """Acknowledge a ping; a helper forwards the ack to the node that asked for the ping."""
 
     number: int
-    telling: Telling
+    report: GossipReport
 
 
 class PingFor(Struct, frozen=True, tag=3, array_like=True):
@@ -40,7 +40,7 @@
 
     number: int
     target: str  # peer address
-    telling: Telling
+    report: GossipReport
 
 
 Datagram = Ping | Ack | PingFor
@@ -106,16 +106,16 @@
 Query = FetchConfiguration | ClaimRequest | ReleaseRequest | HandOver | Introduce
 Answer = ConfigurationDocument | ClaimAnswer | Introduction | Received
 
-DATAGRAMS: Final = msgspec.msgpack.Decoder(Datagram)
-QUERIES: Final = msgspec.msgpack.Decoder(Query)
-ANSWERS: Final = msgspec.msgpack.Decoder(Answer)
+DATAGRAM_DECODER: Final = msgspec.msgpack.Decoder(Datagram)
+QUERY_DECODER: Final = msgspec.msgpack.Decoder(Query)
+ANSWER_DECODER: Final = msgspec.msgpack.Decoder(Answer)
 ENCODER: Final = msgspec.msgpack.Encoder()
 
 __all__ = [
-    "ANSWERS",
-    "DATAGRAMS",
+    "ANSWER_DECODER",
+    "DATAGRAM_DECODER",
     "ENCODER",
-    "QUERIES",
+    "QUERY_DECODER",
     "Ack",
     "Answer",
     "ClaimAnswer",
@@ -123,6 +123,7 @@
     "ConfigurationDocument",
     "Datagram",
     "FetchConfiguration",
+    "GossipReport",
     "HandOver",
     "Introduce",
     "Introduction",
@@ -131,5 +132,4 @@
     "Query",
     "Received",
     "ReleaseRequest",
-    "Telling",
 ]
--- a/packages/node/src/vaneturn_node/peers/requests.py
+++ b/packages/node/src/vaneturn_node/peers/requests.py
@@ -14,10 +14,10 @@
 from anyio.abc import TaskGroup
 
 from vaneturn_node.metrics import Metrics
-from vaneturn_node.peers.messages import ANSWERS, ENCODER, QUERIES, Answer, Query
+from vaneturn_node.peers.messages import ANSWER_DECODER, ENCODER, QUERY_DECODER, Answer, Query
 from vaneturn_node.peers.seal import Sealer
 
-IDLE_TIME: Final = 60.0  # seconds without a request after which the connection to a peer is closed
+IDLE_TIMEOUT_S: Final = 60.0  # without a request, after which the connection to a peer is closed
 
 logger = logging.getLogger(__name__)
 
@@ -52,7 +52,7 @@
             self._metrics.dropped.labels("seal").inc()
             return
         try:
-            answer = await handle(QUERIES.decode(payload))
+            answer = await handle(QUERY_DECODER.decode(payload))
         except msgspec.DecodeError:
             self._metrics.dropped.labels("request").inc()
             return
@@ -118,7 +118,7 @@
     async def read(self) -> None:
         """Deliver answers to the waiting requests until the connection has been idle for too long."""
         while True:
-            with anyio.move_on_after(IDLE_TIME) as scope:
+            with anyio.move_on_after(IDLE_TIMEOUT_S) as scope:
                 number, message = await self._socket.recv_multipart()
             if scope.cancelled_caught:
                 if self._events:
@@ -128,7 +128,7 @@
             event = self._events.get(number)
             if payload is None or event is None:
                 continue  # too late, or from another installation
-            self._answers[number] = ANSWERS.decode(payload)
+            self._answers[number] = ANSWER_DECODER.decode(payload)
             event.set()
 
     def close(self) -> None:
--- a/packages/node/src/vaneturn_node/peers/sharing.py
+++ b/packages/node/src/vaneturn_node/peers/sharing.py
@@ -17,8 +17,8 @@
 from vaneturn_node.peers.messages import ConfigurationDocument, FetchConfiguration
 from vaneturn_node.peers.requests import PeerClient
 
-FETCH_TIMEOUT: Final = 2.0  # seconds
-MARK_LIFE: Final = 15.0  # seconds that a leaving mark from a peer is valid after its last report
+FETCH_TIMEOUT_S: Final = 2.0
+MARK_LIFETIME_S: Final = 15.0  # of a leaving mark after a peer last reported it
 
 logger = logging.getLogger(__name__)
 
@@ -35,11 +35,11 @@
         self._healths = healths
         self._newer: tuple[Revision, str] | None = None
         self._wake = anyio.Event()
-        self._marks: dict[VmId, float] = {}  # time when the mark expires
+        self._mark_expiries: dict[VmId, float] = {}  # monotonic time
         gossip.on_newer_revision(self._note_newer)
         gossip.on_leaving(self._note_leaving)
         in_force.listen(self._announce)
-        healths.on_leaving(self._tell_leaving)
+        healths.on_leaving(self._report_leaving)
 
     def _note_newer(self, revision: Revision, address: str) -> None:
         if self._newer is None or revision > self._newer[0]:
@@ -49,11 +49,11 @@
     def _announce(self, _configuration: Configuration) -> None:
         self._gossip.announce_soon()
 
-    def _tell_leaving(self) -> None:
-        self._gossip.tell_leaving(self._healths.list_reported_by(LeavingSource.SERVER))
+    def _report_leaving(self) -> None:
+        self._gossip.report_leaving(self._healths.list_reported_by(LeavingSource.SERVER))
 
     def _note_leaving(self, vm: VmId) -> None:
-        self._marks[vm] = read_clock() + MARK_LIFE
+        self._mark_expiries[vm] = read_clock() + MARK_LIFETIME_S
         self._healths.mark_leaving(vm, LeavingSource.PEER)
 
     async def run(self) -> None:
@@ -65,18 +65,18 @@
             newer, self._newer = self._newer, None
             if newer is not None and newer[0] > self._in_force.revision:
                 await self._fetch(newer[1])
-            self._lapse_marks()
+            self._expire_marks()
 
     async def _fetch(self, address: str) -> None:
-        answer = await self._client.ask(address, FetchConfiguration(), FETCH_TIMEOUT)
+        answer = await self._client.ask(address, FetchConfiguration(), FETCH_TIMEOUT_S)
         data = zlib.decompress(answer.compressed) if isinstance(answer, ConfigurationDocument) else b""
         if data:
             self._in_force.offer(data)
 
-    def _lapse_marks(self) -> None:
+    def _expire_marks(self) -> None:
         now = read_clock()
-        self._marks = {vm: until for vm, until in self._marks.items() if until > now}
-        self._healths.replace_leaving(LeavingSource.PEER, self._marks)
+        self._mark_expiries = {vm: expiry for vm, expiry in self._mark_expiries.items() if expiry > now}
+        self._healths.replace_leaving(LeavingSource.PEER, self._mark_expiries)
 
 
 __all__ = ["Sharing"]
--- a/packages/node/src/vaneturn_node/peers/wiring.py
+++ b/packages/node/src/vaneturn_node/peers/wiring.py
@@ -11,7 +11,7 @@
 from vaneturn_core.configuration.schema import ClaimMode
 from vaneturn_core.membership.table import MemberTable
 from vaneturn_node.peers.gossip import Gossip
-from vaneturn_node.peers.meeting import join_meeting
+from vaneturn_node.peers.meeting import discover_peers
 from vaneturn_node.peers.messages import (
     Answer,
     ClaimAnswer,
@@ -47,7 +47,7 @@
             tasks.start_soon(self.server.run, self._handle)
             tasks.start_soon(self.sharing.run)
             tasks.start_soon(self._own_slots)
-            tasks.start_soon(join_meeting, self.runtime.store, self.gossip)
+            tasks.start_soon(discover_peers, self.runtime.store, self.gossip)
 
     async def retire(self) -> None:
         """Announce that this node will stop, and hand over the slots that other nodes must continue to serve."""
--- a/tests/node/test_gossip.py
+++ b/tests/node/test_gossip.py
@@ -12,8 +12,8 @@
 from vaneturn_core.membership.member import Member
 from vaneturn_core.membership.table import MemberTable
 from vaneturn_node.metrics import Metrics
-from vaneturn_node.peers.gossip import MAX_TELLINGS, Gossip
-from vaneturn_node.peers.messages import Ping, Telling
+from vaneturn_node.peers.gossip import MAX_REPORTED_MEMBERS, Gossip
+from vaneturn_node.peers.messages import GossipReport, Ping
 from vaneturn_node.peers.seal import Sealer
 
 MAX_DATAGRAM = 1200  # bytes
@@ -25,7 +25,7 @@
     )
 
 
-@pytest.mark.parametrize("count", [0, 1, MAX_TELLINGS - 1, MAX_TELLINGS, 3 * MAX_TELLINGS])
+@pytest.mark.parametrize("count", [0, 1, MAX_REPORTED_MEMBERS - 1, MAX_REPORTED_MEMBERS, 3 * MAX_REPORTED_MEMBERS])
 def test_answer_to_a_new_member_fits_a_datagram(count: int) -> None:
     table = MemberTable(make_member(0), Random(1), time.monotonic)
     while table.take_changes(1):
@@ -33,9 +33,9 @@
     table.merge([make_member(number) for number in range(1, count + 1)])
     gossip = Gossip(table, Sealer("a-key-that-is-long-enough"), [], lambda: Revision(1), Metrics())
     asker = make_member(1000)
-    telling = gossip._tell(Telling(Revision(0), asker.address, [asker]))
-    names = [member.node for member in telling.members]
+    report = gossip._make_report(GossipReport(Revision(0), asker.address, [asker]))
+    names = [member.node for member in report.members]
     assert table.own.node in names
     assert len(names) == len(set(names))
-    assert len(names) <= MAX_TELLINGS + 1
-    assert len(msgspec.msgpack.encode(Ping(1, telling))) <= MAX_DATAGRAM
+    assert len(names) <= MAX_REPORTED_MEMBERS + 1
+    assert len(msgspec.msgpack.encode(Ping(1, report))) <= MAX_DATAGRAM
