--- a/packages/node/src/vaneturn_node/http/accounting.py
+++ b/packages/node/src/vaneturn_node/http/accounting.py
@@ -33,12 +33,12 @@
     last_token: float | None = None
     tokens: int = 0
 
-    def note_token(self) -> None:
+    def record_token(self) -> None:
         """Observe the time to this token."""
         now = read_clock()
-        since = self.started if self.last_token is None else self.last_token
+        previous = self.started if self.last_token is None else self.last_token
         histogram = self.metrics.first_token if self.last_token is None else self.metrics.between_tokens
-        self.metrics.observe(histogram, ClassName(self.customer.work_class), self.customer.name, now - since)
+        self.metrics.observe(histogram, ClassName(self.customer.work_class), self.customer.name, now - previous)
         self.last_token = now
         self.tokens += 1
 
--- a/packages/node/src/vaneturn_node/http/answering.py
+++ b/packages/node/src/vaneturn_node/http/answering.py
@@ -41,7 +41,7 @@
 DEFAULT_MAX_TOKENS: Final = 1024
 PREFIX_CHARACTERS: Final = 512  # of the prompt, which determine the affinity if the caller names no session
 ROUTE_HEADER: Final = "Vaneturn-Route"
-_DONE: Final = b"data: [DONE]\n\n"
+_END_EVENT: Final = b"data: [DONE]\n\n"
 
 
 @dataclass(frozen=True)
@@ -67,8 +67,8 @@
         self._outcome: NotRun | Unknown | None = Unknown(Reason.CONNECTION_LOST)  # until the answer has ended
         self._created = int(time.time())
         self._claim: Claim | None = None
-        self._has_place = False
-        self._request = self._describe(session_name)
+        self._is_admitted = False
+        self._request = self._make_request(session_name)
         stage_run = StageRun(self._request, runtime.pool, runtime.healths, runtime.settings.call_timeout)
         self._generation = Generation(self._request, stage_run, runtime.placement, runtime.mover, runtime.metrics)
         self._pieces: AsyncGenerator[Piece | NotRun | Unknown, None] = self._generation.run()
@@ -90,7 +90,7 @@
             "Cache-Control": "no-store",
         }
 
-    def _describe(self, session_name: str) -> AnswerRequest:
+    def _make_request(self, session_name: str) -> AnswerRequest:
         chat = self._chat
         prefix = chat.text[:PREFIX_CHARACTERS].encode()
         affinity = session_name or chat.body.user or xxhash.xxh3_64_hexdigest(prefix)
@@ -151,33 +151,33 @@
         chat, admission = self._chat, self._runtime.admission
         if chat.resumed is not None:
             admission.enter_resumed(chat.pipeline)
-            self._has_place = True
+            self._is_admitted = True
             return None
         refusal = await admission.enter_pipeline(chat.pipeline, chat.call.customer, chat.work_class)
-        self._has_place = refusal is None
+        self._is_admitted = refusal is None
         return refusal
 
-    async def _follow(self, first: Piece | None) -> AsyncIterator[Piece | NotRun | Unknown]:
+    async def _iterate_pieces(self, first: Piece | None) -> AsyncIterator[Piece | NotRun | Unknown]:
         if first is None:
             return
-        self._note(first)
+        self._record_piece(first)
         yield first
         async for piece in self._pieces:
-            self._note(piece)
+            self._record_piece(piece)
             yield piece
 
-    def _note(self, piece: Piece | NotRun | Unknown) -> None:
+    def _record_piece(self, piece: Piece | NotRun | Unknown) -> None:
         if not isinstance(piece, Piece):
             self._outcome = piece
             return
-        self._account.note_token()
+        self._account.record_token()
         if piece.last:
             self._outcome = None
 
     async def collect(self, first: Piece) -> Response:
         """Answer with the whole text, or with an error if the answer was not completed."""
         texts: list[str] = []
-        async for piece in self._follow(first):
+        async for piece in self._iterate_pieces(first):
             if not isinstance(piece, Piece):
                 return answer_error(piece, request=self.id)
             texts.append(piece.text)
@@ -186,39 +186,39 @@
             id=self._account.id,
             created=self._created,
             model=self._chat.body.model,
-            choices=[Choice(AnswerMessage("".join(texts)), self._describe_end())],
+            choices=[Choice(AnswerMessage("".join(texts)), self._find_finish_reason())],
             usage=Usage(prompt_tokens, len(texts), prompt_tokens + len(texts)),
         )
         return Response(msgspec.json.encode(completion), headers=self.headers, media_type="application/json")
 
     async def stream(self, first: Piece | None) -> AsyncIterator[bytes]:
         """Stream one event per token; an answer without the end mark after the last token is incomplete."""
-        async for piece in self._follow(first):
+        async for piece in self._iterate_pieces(first):
             if not isinstance(piece, Piece):
                 yield b"data: " + msgspec.json.encode(describe_error(piece)) + b"\n\n"
                 return
             yield self._encode_event(piece)
         yield self._encode_finish()
-        yield _DONE
+        yield _END_EVENT
 
     def _encode_event(self, piece: Piece) -> bytes:
         chunk = self._make_chunk(Delta(content=piece.text), None)
-        return b"id: %s\ndata: %s\n\n" % (self._name_event(piece).encode(), chunk)
+        return b"id: %s\ndata: %s\n\n" % (self._make_event_id(piece).encode(), chunk)
 
-    def _name_event(self, piece: Piece) -> str:
+    def _make_event_id(self, piece: Piece) -> str:
         point = self._generation.describe_point(is_finished=piece.last)
         if count_generated(point) > MAX_RESUMABLE:
             return str(piece.position)
         return self._codec.encode(point)
 
     def _encode_finish(self) -> bytes:
-        return b"data: " + self._make_chunk(Delta(), self._describe_end()) + b"\n\n"
+        return b"data: " + self._make_chunk(Delta(), self._find_finish_reason()) + b"\n\n"
 
     def _make_chunk(self, delta: Delta, finish_reason: str | None) -> bytes:
         choice = ChunkChoice(delta, finish_reason)
         return msgspec.json.encode(Chunk(self._account.id, self._created, self._chat.body.model, [choice]))
 
-    def _describe_end(self) -> str:
+    def _find_finish_reason(self) -> str:
         return "length" if self._account.tokens >= self._request.max_tokens else "stop"
 
     async def close(self) -> None:
@@ -227,7 +227,7 @@
             return
         self._closed = True
         self._runtime.generations.pop(self._account.id, None)
-        if self._has_place:
+        if self._is_admitted:
             self._runtime.admission.leave_pipeline(self._chat.pipeline, read_clock() - self._account.started)
         self._runtime.admission.leave(self._chat.call.customer)
         self._account.close(self._outcome)
--- a/packages/node/src/vaneturn_node/http/chat.py
+++ b/packages/node/src/vaneturn_node/http/chat.py
@@ -79,22 +79,22 @@
         return Malformed(NotRun(Reason.UNKNOWN_MODEL), f"unknown model {body.model!r}")
     text = render_prompt(body.messages)
     chat = ChatCall(call, body, view.find_class(customer), pipeline, text, encode_prompt(text), None)
-    return _read_resumption(request, runtime, chat)
+    return _read_resume_point(request, runtime, chat)
 
 
-def _read_resumption(request: Request, runtime: Runtime, chat: ChatCall) -> ChatCall | Malformed:
+def _read_resume_point(request: Request, runtime: Runtime, chat: ChatCall) -> ChatCall | Malformed:
     """Read the resume point, if the request has one; a resumed answer keeps its pipeline version."""
     text = request.headers.get(RESUME_HEADER)
     if text is None or not chat.body.stream:
         return chat
     point = ResumeCodec(Sealer(runtime.settings.cluster_key)).decode(text)
-    if point is None or not _belongs(point, chat.call, chat.pipeline, chat.prompt):
+    if point is None or not _matches_request(point, chat.call, chat.pipeline, chat.prompt):
         return Malformed(NotRun(Reason.NOT_RESUMABLE), f"{RESUME_HEADER} is not the id of an event of this request")
     pipeline = msgspec.structs.replace(chat.pipeline, version=point.version)
     return replace(chat, pipeline=pipeline, resumed=point)
 
 
-def _belongs(point: ResumePoint, call: Call, pipeline: Pipeline, prompt: bytes) -> bool:
+def _matches_request(point: ResumePoint, call: Call, pipeline: Pipeline, prompt: bytes) -> bool:
     same_customer = point.customer == call.customer.name
     return same_customer and point.pipeline == pipeline.name and point.prompt_digest == digest_prompt(prompt)
 
--- a/packages/node/src/vaneturn_node/http/ended.py
+++ b/packages/node/src/vaneturn_node/http/ended.py
@@ -8,7 +8,7 @@
 from vaneturn_core.identifiers import RequestId
 from vaneturn_core.operators import EndedRequest
 
-REMEMBERED: Final = 2048  # about 1 MB of memory
+MAX_ENDED_REQUESTS: Final = 2048  # about 1 MB of memory
 
 
 class EndedRequests:
@@ -20,7 +20,7 @@
     def add(self, ended: EndedRequest) -> None:
         """Add a request, and drop the oldest one beyond the limit."""
         self._requests[ended.request] = ended
-        if len(self._requests) > REMEMBERED:
+        if len(self._requests) > MAX_ENDED_REQUESTS:
             self._requests.popitem(last=False)
 
     def find(self, request: RequestId) -> EndedRequest | None:
--- a/packages/node/src/vaneturn_node/http/errors.py
+++ b/packages/node/src/vaneturn_node/http/errors.py
@@ -14,7 +14,7 @@
 
 REQUEST_HEADER: Final = "Vaneturn-Request"  # the id by which operators find the request
 
-_STATUS: Final = {
+_STATUSES: Final = {
     Reason.UNKNOWN_KEY: 401,
     Reason.UNKNOWN_MODEL: 404,
     Reason.UNKNOWN_SERVICE: 404,
@@ -29,33 +29,33 @@
 }
 _DEFAULT_STATUS: Final = 503
 _UNKNOWN_STATUS: Final = 502
-_RETRYABLE_FROM: Final = 429
+_MIN_RETRYABLE_STATUS: Final = 429
 _TYPES: Final = {400: "invalid_request_error", 401: "authentication_error", 429: "rate_limit_error"}
 
 
 def describe_error(outcome: NotRun | Unknown, message: str = "") -> ErrorBody:
     """Describe an outcome in the chat-completions format."""
-    ran = isinstance(outcome, Unknown)
+    may_have_run = isinstance(outcome, Unknown)
     status = find_status(outcome)
-    text = message or ("the request may have run" if ran else "the request was not run")
+    text = message or ("the request may have run" if may_have_run else "the request was not run")
     detail = ErrorDetail(
-        text, _TYPES.get(status, "server_error"), outcome.reason.value, "unknown" if ran else "not_run"
+        text, _TYPES.get(status, "server_error"), outcome.reason.value, "unknown" if may_have_run else "not_run"
     )
     return ErrorBody(detail)
 
 
 def find_status(outcome: NotRun | Unknown) -> int:
     """Find the HTTP status of an outcome."""
-    if isinstance(outcome, Unknown) and outcome.reason not in _STATUS:
+    if isinstance(outcome, Unknown) and outcome.reason not in _STATUSES:
         return _UNKNOWN_STATUS
-    return _STATUS.get(outcome.reason, _DEFAULT_STATUS)
+    return _STATUSES.get(outcome.reason, _DEFAULT_STATUS)
 
 
 def answer_error(outcome: NotRun | Unknown, message: str = "", request: RequestId | None = None) -> Response:
     """Make an error answer; a temporary refusal says when to retry."""
     status = find_status(outcome)
     headers: dict[str, str] = {REQUEST_HEADER: request} if request else {}
-    if isinstance(outcome, NotRun) and status >= _RETRYABLE_FROM:
+    if isinstance(outcome, NotRun) and status >= _MIN_RETRYABLE_STATUS:
         headers["Retry-After"] = str(max(1, math.ceil(outcome.retry_after)))
     body = msgspec.json.encode(describe_error(outcome, message))
     return Response(body, status, headers, "application/json")
--- a/packages/node/src/vaneturn_node/http/operators.py
+++ b/packages/node/src/vaneturn_node/http/operators.py
@@ -26,17 +26,17 @@
     Rejected,
     Unsettled,
 )
-from vaneturn_node.http.reading import read_bearer
+from vaneturn_node.http.reading import read_bearer_key
 from vaneturn_node.runtime import Runtime
 
-NOTHING_SAID: Final = Holdings(0, (), (), ())  # of an engine that does not report its holdings
+NO_HOLDINGS: Final = Holdings(0, (), (), ())  # of an engine that does not report its holdings
 
 audit = logging.getLogger("vaneturn.audit")
 
 
 def find_operator(request: Request, runtime: Runtime) -> str | None:
     """Find the operator by the request's bearer key."""
-    key = read_bearer(request)
+    key = read_bearer_key(request)
     matching = [
         name
         for name, known in runtime.settings.operator_keys.items()
@@ -105,7 +105,7 @@
     ejected = runtime.healths.list_ejected()
     down = runtime.pool.list_down()
     configuration = runtime.in_force.view.configuration
-    said = runtime.pool.list_holdings()
+    reported_holdings = runtime.pool.list_holdings()
     servers = [
         ServerState(
             vm=server.vm,
@@ -115,7 +115,7 @@
             limit=health.limit,
             ejected=server.vm in ejected,
             leaving=sorted(source.value for source in health.leaving),
-            held=_name_parts((holdings := said.get(server.vm, NOTHING_SAID)).held),
+            held=_name_parts((holdings := reported_holdings.get(server.vm, NO_HOLDINGS)).held),
             loading=_name_parts(holdings.loading),
             ending=_name_parts(holdings.ending),
         )
--- a/packages/node/src/vaneturn_node/http/reading.py
+++ b/packages/node/src/vaneturn_node/http/reading.py
@@ -12,14 +12,14 @@
 from vaneturn_core.outcomes import NotRun, Reason
 from vaneturn_node.view import ConfigurationView
 
-MAX_BODY: Final = 8 << 20  # bytes
+MAX_BODY_BYTES: Final = 8 << 20
 TIMEOUT_HEADER: Final = "Vaneturn-Timeout"  # seconds that the caller waits for the whole answer
 REPEAT_HEADER: Final = "Vaneturn-Repeat"  # "never" marks a request that must run at most once
 SESSION_HEADER: Final = "Vaneturn-Session"  # requests of one session prefer the same servers
 RESUME_HEADER: Final = "Last-Event-ID"  # id of the last event that the caller received of a streamed answer
 KEY_HEADER: Final = "Idempotency-Key"
-DEFAULT_TIMEOUT: Final = 600.0  # seconds
-MAX_TIMEOUT: Final = 3600.0
+DEFAULT_TIMEOUT_S: Final = 600.0
+MAX_TIMEOUT_S: Final = 3600.0
 _BEARER: Final = "Bearer "
 
 
@@ -55,7 +55,7 @@
     return Call(customer, body, timeout, repeat_key)
 
 
-def read_bearer(request: Request) -> str:
+def read_bearer_key(request: Request) -> str:
     """Read the bearer key; return an empty string without one."""
     value = request.headers.get("Authorization", "")
     return value.removeprefix(_BEARER) if value.startswith(_BEARER) else ""
@@ -65,7 +65,7 @@
     """Find the customer by the request's bearer key."""
     if not view.configuration.revision:
         return Malformed(NotRun(Reason.NO_CONFIGURATION), "this node has no configuration yet")
-    customer = view.find_customer(read_bearer(request))
+    customer = view.find_customer(read_bearer_key(request))
     if customer is None:
         return Malformed(NotRun(Reason.UNKNOWN_KEY), "unknown key")
     return customer
@@ -73,13 +73,13 @@
 
 async def read_body(request: Request) -> bytes | Malformed:
     """Read the whole body, up to the size limit."""
-    too_large = Malformed(NotRun(Reason.TOO_LARGE), f"the body exceeds {MAX_BODY} bytes")
-    if int(request.headers.get("Content-Length", "0") or 0) > MAX_BODY:
+    too_large = Malformed(NotRun(Reason.TOO_LARGE), f"the body exceeds {MAX_BODY_BYTES} bytes")
+    if int(request.headers.get("Content-Length", "0") or 0) > MAX_BODY_BYTES:
         return too_large
     body = bytearray()
     async for part in request.stream():
         body += part
-        if len(body) > MAX_BODY:
+        if len(body) > MAX_BODY_BYTES:
             return too_large
     return bytes(body)
 
@@ -88,13 +88,13 @@
     """Read the seconds that the caller waits."""
     text = request.headers.get(TIMEOUT_HEADER)
     if text is None:
-        return DEFAULT_TIMEOUT
+        return DEFAULT_TIMEOUT_S
     try:
         timeout = float(text)
     except ValueError:
         timeout = 0.0
-    if not 0 < timeout <= MAX_TIMEOUT:
-        return Malformed(NotRun(Reason.MALFORMED), f"{TIMEOUT_HEADER}: expected seconds up to {MAX_TIMEOUT}")
+    if not 0 < timeout <= MAX_TIMEOUT_S:
+        return Malformed(NotRun(Reason.MALFORMED), f"{TIMEOUT_HEADER}: expected seconds up to {MAX_TIMEOUT_S}")
     return timeout
 
 
@@ -116,6 +116,6 @@
     "Call",
     "Malformed",
     "find_customer",
-    "read_bearer",
+    "read_bearer_key",
     "read_call",
 ]
--- a/packages/node/src/vaneturn_node/http/services.py
+++ b/packages/node/src/vaneturn_node/http/services.py
@@ -22,12 +22,12 @@
 from vaneturn_node.http1.messages import MAX_REST_S, parse_decimal
 from vaneturn_node.runtime import Runtime, open_account
 
-CONNECT_TIMEOUT: Final = 1.0  # seconds
+CONNECT_TIMEOUT_S: Final = 1.0
 MAX_TRIES: Final = 3
-RETRY_AFTER: Final = "Retry-After"
-BACKOFF: Final = 0.05  # seconds, multiplied by the number of earlier tries
-_TURNED_AWAY: Final = (httpx.codes.TOO_MANY_REQUESTS, httpx.codes.SERVICE_UNAVAILABLE)
-_PASSED_HEADERS: Final = ("Accept", "Content-Type", "Idempotency-Key")
+RETRY_AFTER_HEADER: Final = "Retry-After"
+BACKOFF_S: Final = 0.05  # multiplied by the number of earlier tries
+_REFUSED_STATUSES: Final = (httpx.codes.TOO_MANY_REQUESTS, httpx.codes.SERVICE_UNAVAILABLE)
+_FORWARDED_HEADERS: Final = ("Accept", "Content-Type", "Idempotency-Key")
 # raised before any byte of the request was written
 _NOT_SENT: Final = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout, httpx.UnsupportedProtocol)
 
@@ -52,14 +52,14 @@
         account.close(refusal)
         return answer_error(refusal, request=account.id)
     try:
-        return _answer(await _ServiceCall(runtime, service, request, call, account).run(), account.id)
+        return _make_response(await _ServiceCall(runtime, service, request, call, account).run(), account.id)
     finally:
         runtime.admission.leave(customer)
 
 
-def _answer(outcome: Outcome, request: RequestId) -> Response:
+def _make_response(outcome: Outcome, request: RequestId) -> Response:
     if isinstance(outcome, Completed):
-        headers = {RETRY_AFTER: outcome.retry_after} if outcome.retry_after is not None else {}
+        headers = {RETRY_AFTER_HEADER: outcome.retry_after} if outcome.retry_after is not None else {}
         return Response(outcome.body, outcome.status, headers, outcome.content_type)
     return answer_error(outcome, request=request)
 
@@ -97,15 +97,15 @@
     async def _try_servers(self, *, repeatable: bool) -> Outcome:
         """Try servers in turn; after a try that may have run, only if the call may be repeated."""
         outcome: Outcome = NotRun(Reason.NO_ROUTE)
-        rests = [self._runtime.healths.compute_remaining_rest(vm) for vm in self._service.servers]
-        if rests and min(rests) > 0:
-            return NotRun(Reason.OVERLOAD, retry_after=min(rests))
+        remaining_rests = [self._runtime.healths.compute_remaining_rest(vm) for vm in self._service.servers]
+        if remaining_rests and min(remaining_rests) > 0:
+            return NotRun(Reason.OVERLOAD, retry_after=min(remaining_rests))
         budget = self._runtime.retry_budget
         budget.earn()
-        for tried, vm in enumerate(self._rank_servers()[:MAX_TRIES]):
-            if read_clock() >= self._deadline or (tried and not budget.spend()):
+        for earlier_tries, vm in enumerate(self._rank_servers()[:MAX_TRIES]):
+            if read_clock() >= self._deadline or (earlier_tries and not budget.spend()):
                 break
-            await anyio.sleep(random.uniform(0, BACKOFF * tried))  # full jitter, none before the first try
+            await anyio.sleep(random.uniform(0, BACKOFF_S * earlier_tries))  # full jitter, none before the first try
             outcome = await self._send(vm)
             if isinstance(outcome, Completed) or (isinstance(outcome, Unknown) and not repeatable):
                 break
@@ -135,9 +135,9 @@
                 params=httpx.QueryParams(self._request.url.query),
                 content=self._call.body,
                 headers={
-                    name: self._request.headers[name] for name in _PASSED_HEADERS if name in self._request.headers
+                    name: self._request.headers[name] for name in _FORWARDED_HEADERS if name in self._request.headers
                 },
-                timeout=httpx.Timeout(max(0.001, self._deadline - started), connect=CONNECT_TIMEOUT),
+                timeout=httpx.Timeout(max(0.001, self._deadline - started), connect=CONNECT_TIMEOUT_S),
             )
         except httpx.HTTPError as error:
             self._runtime.healths.record_failure(vm)
@@ -145,9 +145,9 @@
         finally:
             health.in_progress -= 1
         self._runtime.healths.record_reply(vm, read_clock() - started)
-        retry_after = response.headers.get(RETRY_AFTER)
+        retry_after = response.headers.get(RETRY_AFTER_HEADER)
         seconds = parse_decimal(retry_after.encode()) if retry_after is not None else None
-        if response.status_code in _TURNED_AWAY and seconds is not None:
+        if response.status_code in _REFUSED_STATUSES and seconds is not None:
             self._runtime.healths.record_rest(vm, min(seconds, MAX_REST_S))
             logger.info("server asked for rest", extra={"vm": vm, "seconds": seconds})
         return Completed(response.status_code, response.headers.get("Content-Type", ""), response.content, retry_after)
