--- a/packages/node/src/vaneturn_node/daemon.py
+++ b/packages/node/src/vaneturn_node/daemon.py
@@ -162,13 +162,13 @@
             break
     runtime.admission.ready = False
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(peers.retire)
+        tasks.start_soon(peers.announce_stopping)
         tasks.start_soon(runtime.tenure.give_up)
         await anyio.sleep(UNREADY_TIME)
         runtime.admission.stopping = True
     with anyio.move_on_after(runtime.settings.stop_timeout):
         await runtime.admission.wait_idle()
-    await peers.stop()
+    await peers.announce_stopped()
     stopped.set()
 
 
--- a/packages/node/src/vaneturn_node/peers/gossip.py
+++ b/packages/node/src/vaneturn_node/peers/gossip.py
@@ -79,12 +79,12 @@
             tasks.start_soon(self._rejoin)
             await self._probe()
 
-    async def retire(self) -> None:
+    async def announce_stopping(self) -> None:
         """Announce that this node will stop."""
         self.table.announce_stopping()
         await self.announce()
 
-    async def stop(self) -> None:
+    async def announce_stopped(self) -> None:
         """Announce that this node stops now."""
         self.table.announce_stopped()
         await self.announce()
--- a/packages/node/src/vaneturn_node/peers/wiring.py
+++ b/packages/node/src/vaneturn_node/peers/wiring.py
@@ -49,14 +49,14 @@
             tasks.start_soon(self._own_slots)
             tasks.start_soon(discover_peers, self.runtime.store, self.gossip)
 
-    async def retire(self) -> None:
+    async def announce_stopping(self) -> None:
         """Announce that this node will stop, and hand over the slots that other nodes must continue to serve."""
-        await self.gossip.retire()
+        await self.gossip.announce_stopping()
         await self.runtime.ownership.hand_over(self.runtime.peer_client)
 
-    async def stop(self) -> None:
+    async def announce_stopped(self) -> None:
         """Announce that this node stops now."""
-        await self.gossip.stop()
+        await self.gossip.announce_stopped()
 
     async def _own_slots(self) -> None:
         """Start to own slots once the configuration sets that claims are made by slot."""
