--- a/packages/node/src/vaneturn_node/clock.py
+++ b/packages/node/src/vaneturn_node/clock.py
@@ -14,9 +14,9 @@
 
 import anyio
 
-LOOK_INTERVAL: Final = 0.1  # seconds between checks for a suspension
-SHORTEST: Final = 0.05  # seconds; shorter suspensions are ignored, as the two clocks are read microseconds apart
-HELD_UP: Final = 1.0  # seconds between two checks from which a warning is logged
+CHECK_INTERVAL_S: Final = 0.1  # between checks for a suspension
+MIN_SUSPENSION_S: Final = 0.05  # shorter suspensions are ignored, as the two clocks are read microseconds apart
+HELD_UP_WARNING_S: Final = 1.0  # time between two checks from which a warning is logged
 
 logger = logging.getLogger(__name__)
 
@@ -28,17 +28,17 @@
 
 async def watch_suspensions(on_wake: Callable[[float], None]) -> None:
     """Call back after each suspension of this VM with its duration in seconds, until cancelled."""
-    known = read_clock() - time.monotonic()
+    known_offset = read_clock() - time.monotonic()
     while True:
-        looked_at, used = read_clock(), time.process_time()
-        await anyio.sleep(LOOK_INTERVAL)
-        took = read_clock() - looked_at
-        if took >= HELD_UP:  # the processor time shows whether the process was busy or did not run
-            extra = {"seconds": round(took, 3), "processor_seconds": round(time.process_time() - used, 3)}
+        checked_at, processor_time = read_clock(), time.process_time()
+        await anyio.sleep(CHECK_INTERVAL_S)
+        elapsed = read_clock() - checked_at
+        if elapsed >= HELD_UP_WARNING_S:  # the processor time shows whether the process was busy or did not run
+            extra = {"seconds": round(elapsed, 3), "processor_seconds": round(time.process_time() - processor_time, 3)}
             logger.warning("held up", extra=extra)
         offset = read_clock() - time.monotonic()
-        suspended, known = offset - known, offset
-        if suspended >= SHORTEST:
+        suspended, known_offset = offset - known_offset, offset
+        if suspended >= MIN_SUSPENSION_S:
             logger.info("suspended", extra={"seconds": round(suspended, 3)})
             on_wake(suspended)
 
--- a/packages/node/src/vaneturn_node/daemon.py
+++ b/packages/node/src/vaneturn_node/daemon.py
@@ -55,8 +55,8 @@
 from vaneturn_node.standalone.vms import HttpVmList
 
 EXIT_SETTINGS: Final = 2
-UNREADY_TIME: Final = 1.0  # seconds from unready to refusing, so that the load balancer can react
-VM_LIST_INTERVAL: Final = 2.0  # seconds
+UNREADY_DELAY_S: Final = 1.0  # from unready to refusing, so that the load balancer can react
+VM_LIST_INTERVAL_S: Final = 2.0
 MAX_CLIENT_CONNECTIONS: Final = 512
 
 logger = logging.getLogger(__name__)
@@ -91,7 +91,7 @@
         if settings.vm_list_url is not None:
             tasks.start_soon(_follow_vm_list, HttpVmList(client, settings.vm_list_url), runtime.healths)
         stopped = anyio.Event()
-        tasks.start_soon(_await_stop, runtime, peers, stopped)
+        tasks.start_soon(_wait_for_stop, runtime, peers, stopped)
         await _serve(runtime, stopped)
         tasks.cancel_scope.cancel()
     logger.info("stopped")
@@ -154,8 +154,8 @@
     await serve(cast("Any", make_app(runtime)), config, shutdown_trigger=stopped.wait, mode="asgi")
 
 
-async def _await_stop(runtime: Runtime, peers: Peers, stopped: anyio.Event) -> None:
-    """On a signal become unready, refuse new requests after UNREADY_TIME, and stop when the last one has ended."""
+async def _wait_for_stop(runtime: Runtime, peers: Peers, stopped: anyio.Event) -> None:
+    """On a signal become unready, refuse new requests after UNREADY_DELAY_S, and stop when the last one has ended."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for received in signals:
             logger.info("stopping", extra={"signal": received.name})
@@ -164,7 +164,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(peers.announce_stopping)
         tasks.start_soon(runtime.tenure.give_up)
-        await anyio.sleep(UNREADY_TIME)
+        await anyio.sleep(UNREADY_DELAY_S)
         runtime.admission.stopping = True
     with anyio.move_on_after(runtime.settings.stop_timeout):
         await runtime.admission.wait_idle()
@@ -177,7 +177,7 @@
         leaving = await vm_list.list_leaving()
         if not isinstance(leaving, Unavailable):
             healths.replace_leaving(LeavingSource.VM_LIST, leaving)
-        await anyio.sleep(VM_LIST_INTERVAL)
+        await anyio.sleep(VM_LIST_INTERVAL_S)
 
 
 __all__ = ["EXIT_SETTINGS", "run_node"]
--- a/packages/node/src/vaneturn_node/logs.py
+++ b/packages/node/src/vaneturn_node/logs.py
@@ -15,7 +15,7 @@
 from vaneturn_core.identifiers import NodeId, VmId
 from vaneturn_node.clock import read_clock
 
-MAX_PER_SECOND: Final = 100  # records with the same message and a level below WARNING
+MAX_RECORDS_PER_SECOND: Final = 100  # records with the same message and a level below WARNING
 
 
 class FloodFilter(logging.Filter):
@@ -26,7 +26,7 @@
         self._clock = clock
         self._second = 0
         self._counts: Counter[str] = Counter()
-        self._held_back: Counter[str] = Counter()
+        self._suppressed: Counter[str] = Counter()
 
     def filter(self, record: logging.LogRecord) -> bool:
         """Return whether a record is written."""
@@ -36,12 +36,12 @@
             self._counts.clear()
         message = str(record.msg)
         self._counts[message] += 1
-        if record.levelno >= logging.WARNING or self._counts[message] <= MAX_PER_SECOND:
-            held_back = self._held_back.pop(message, 0)
+        if record.levelno >= logging.WARNING or self._counts[message] <= MAX_RECORDS_PER_SECOND:
+            held_back = self._suppressed.pop(message, 0)
             if held_back:
                 record.held_back = held_back
             return True
-        self._held_back[message] += 1
+        self._suppressed[message] += 1
         return False
 
 
@@ -51,12 +51,12 @@
     A pipe that polls as writable accepts a line of up to 4,096 bytes whole.
     """
 
-    def __init__(self, number: int) -> None:
+    def __init__(self, descriptor: int) -> None:
         """Write to an open file descriptor."""
         super().__init__()
-        self._number = number
+        self._descriptor = descriptor
         self._writable = select.poll()
-        self._writable.register(number, select.POLLOUT)
+        self._writable.register(descriptor, select.POLLOUT)
         self._dropped = 0
 
     def emit(self, record: logging.LogRecord) -> None:
@@ -68,7 +68,7 @@
             record.dropped = self._dropped
             self._dropped = 0
         try:
-            os.write(self._number, self.format(record).encode() + b"\n")
+            os.write(self._descriptor, self.format(record).encode() + b"\n")
         except OSError:
             self._dropped += 1  # the reader has closed the pipe, so the error cannot be logged
 
@@ -91,4 +91,4 @@
     logging.getLogger("hypercorn").setLevel(logging.WARNING)
 
 
-__all__ = ["MAX_PER_SECOND", "DroppingHandler", "FloodFilter", "configure_logs"]
+__all__ = ["MAX_RECORDS_PER_SECOND", "DroppingHandler", "FloodFilter", "configure_logs"]
--- a/packages/node/src/vaneturn_node/standalone/keyvalue.py
+++ b/packages/node/src/vaneturn_node/standalone/keyvalue.py
@@ -10,7 +10,7 @@
 from vaneturn_core.ports import Conflict, Entry, Unavailable
 from vaneturn_node.metrics import Metrics
 
-CALL_TIMEOUT: Final = 2.0  # seconds; a healthy service answers within milliseconds
+CALL_TIMEOUT_S: Final = 2.0  # a healthy service answers within milliseconds
 VERSION_HEADER: Final = "Version"
 
 
@@ -32,7 +32,7 @@
     async def watch(self, key: str, after: StoreVersion, wait: float) -> Entry | Unavailable | None:
         """Wait until the key has another version than the given one; return None after `wait` seconds without."""
         query = {"after": str(after), "wait": str(wait)}
-        response = await self._call("watch", "GET", key, query=query, timeout=wait + CALL_TIMEOUT)
+        response = await self._call("watch", "GET", key, query=query, timeout=wait + CALL_TIMEOUT_S)
         if isinstance(response, Unavailable):
             return response
         if response.status_code == httpx.codes.NOT_MODIFIED:
@@ -57,7 +57,7 @@
         *,
         query: dict[str, str] | None = None,
         content: bytes | None = None,
-        timeout: float = CALL_TIMEOUT,  # noqa: ASYNC109 # passed to the client, which limits the call
+        timeout: float = CALL_TIMEOUT_S,  # noqa: ASYNC109 # passed to the client, which limits the call
     ) -> httpx.Response | Unavailable:
         url = f"{self._base_url}/v1/kv/{key}"
         try:
--- a/tests/node/test_logs.py
+++ b/tests/node/test_logs.py
@@ -5,7 +5,7 @@
 import logging
 import os
 
-from vaneturn_node.logs import MAX_PER_SECOND, DroppingHandler, FloodFilter
+from vaneturn_node.logs import MAX_RECORDS_PER_SECOND, DroppingHandler, FloodFilter
 
 
 def make_record(message: str, level: int = logging.INFO) -> logging.LogRecord:
@@ -15,18 +15,18 @@
 def test_flood_is_held_back_and_counted() -> None:
     now = [0.0]
     flood = FloodFilter(lambda: now[0])
-    written = sum(flood.filter(make_record("request ended")) for _ in range(10 * MAX_PER_SECOND))
-    assert written == MAX_PER_SECOND
+    written = sum(flood.filter(make_record("request ended")) for _ in range(10 * MAX_RECORDS_PER_SECOND))
+    assert written == MAX_RECORDS_PER_SECOND
     assert flood.filter(make_record("configuration in force"))
     now[0] = 1.0
     next_record = make_record("request ended")
     assert flood.filter(next_record)
-    assert next_record.__dict__["held_back"] == 9 * MAX_PER_SECOND
+    assert next_record.__dict__["held_back"] == 9 * MAX_RECORDS_PER_SECOND
 
 
 def test_warnings_are_never_held_back() -> None:
     flood = FloodFilter(lambda: 0.0)
-    assert all(flood.filter(make_record("lost", logging.WARNING)) for _ in range(3 * MAX_PER_SECOND))
+    assert all(flood.filter(make_record("lost", logging.WARNING)) for _ in range(3 * MAX_RECORDS_PER_SECOND))
 
 
 def test_reader_that_stalls_stops_nobody_and_learns_what_it_missed() -> None:
