--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -23,10 +23,10 @@
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     """Let only the listed tests fail without failing the run; their results are reported."""
-    known = read_known_red()
+    known_red = read_known_red()
     for item in items:
-        if item.nodeid in known:
-            item.add_marker(pytest.mark.xfail(reason=f"KNOWN-RED: {known[item.nodeid]}", strict=False))
+        if item.nodeid in known_red:
+            item.add_marker(pytest.mark.xfail(reason=f"KNOWN-RED: {known_red[item.nodeid]}", strict=False))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
@@ -44,8 +44,8 @@
 @pytest.fixture
 def installation(tmp_path: Path) -> Iterator[Installation]:
     """An installation without processes."""
-    with Installation(tmp_path) as made:
-        yield made
+    with Installation(tmp_path) as new_installation:
+        yield new_installation
 
 
 @pytest.fixture
--- a/tests/node/test_caller.py
+++ b/tests/node/test_caller.py
@@ -35,7 +35,7 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_answer_that_stops_arriving_is_given_up() -> None:
+async def test_answer_that_stops_arriving_fails() -> None:
     """The call fails after the stall timeout, long before the total time limit of a long answer."""
 
     async def stop_halfway(exchange: Exchange) -> None:
@@ -52,7 +52,7 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_answer_that_still_arrives_when_its_time_is_up_is_told_from_none() -> None:
+async def test_unfinished_answer_at_the_time_limit_differs_from_none() -> None:
     store, address = Store(body_time=2.0), ServerAddress(f"127.0.0.1:{find_port()}")
     async with anyio.create_task_group() as tasks:
         await store.listen(address, tasks)
--- a/tests/node/test_logs.py
+++ b/tests/node/test_logs.py
@@ -12,7 +12,7 @@
     return logging.LogRecord("test", level, __file__, 1, message, (), None)
 
 
-def test_flood_is_held_back_and_counted() -> None:
+def test_flood_is_suppressed_and_counted() -> None:
     now = [0.0]
     flood = FloodFilter(lambda: now[0])
     written = sum(flood.filter(make_record("request ended")) for _ in range(10 * MAX_RECORDS_PER_SECOND))
@@ -24,12 +24,12 @@
     assert next_record.__dict__["held_back"] == 9 * MAX_RECORDS_PER_SECOND
 
 
-def test_warnings_are_never_held_back() -> None:
+def test_warnings_are_never_suppressed() -> None:
     flood = FloodFilter(lambda: 0.0)
     assert all(flood.filter(make_record("lost", logging.WARNING)) for _ in range(3 * MAX_RECORDS_PER_SECOND))
 
 
-def test_reader_that_stalls_stops_nobody_and_learns_what_it_missed() -> None:
+def test_stalled_reader_blocks_nothing_and_gets_the_dropped_count() -> None:
     read, write = os.pipe()
     handler = DroppingHandler(write)
     record = logging.LogRecord("n", logging.INFO, "p", 1, "x" * 1000, (), None)
--- a/tests/rig/mechanisms.py
+++ b/tests/rig/mechanisms.py
@@ -234,7 +234,7 @@
     ),
     Proof(
         "a resumed answer fences the node that lost it",
-        "tests/system/test_resume.py::test_frozen_node_that_thaws_does_not_disturb_its_successor",
+        "tests/system/test_resume.py::test_node_resumed_after_freeze_does_not_disturb_its_successor",
         (
             Edit(
                 f"{NODE}/answers/generation.py",
@@ -245,12 +245,12 @@
     ),
     Proof(
         "a resumed answer is let in beyond the limit",
-        "tests/system/test_resume.py::test_resumed_answer_is_not_turned_away_when_the_pipeline_is_full",
+        "tests/system/test_resume.py::test_resumed_answer_is_not_refused_when_the_pipeline_is_full",
         (Edit(f"{NODE}/http/answering.py", "        if chat.resumed is not None:\n", "        if False:\n"),),
     ),
     Proof(
         "an answer is resumed with its tokens",
-        "tests/system/test_resume.py::test_answer_goes_on_at_another_node",
+        "tests/system/test_resume.py::test_answer_resumes_at_another_node",
         (
             Edit(
                 f"{NODE}/answers/generation.py", "            self._go_on_from(request.resumed)\n", "            pass\n"
--- a/tests/system/test_leaving.py
+++ b/tests/system/test_leaving.py
@@ -12,14 +12,14 @@
 from rig.processes import wait_until
 
 TEXT = "Summarise the correspondence of household 12"
-IN_FORCE = 3.0  # seconds within which a leaving server gets no new work
+MAX_DELAY_S = 3.0  # within which a leaving server gets no new work
 
 
-def list_started(installation: Installation, server: str) -> set[str]:
+def list_sessions_run(installation: Installation, server: str) -> set[str]:
     return {entry["session"] for entry in installation.read_journal(server) if entry["event"] == "run"}
 
 
-def leave_by_own_word(installation: Installation, server: str) -> None:
+def request_leave(installation: Installation, server: str) -> None:
     installation.client.post(installation.url(server) + "/control/leave").raise_for_status()
 
 
@@ -28,7 +28,7 @@
     assert installation.apply().is_success
 
 
-def is_leaving_everywhere(installation: Installation, server: str) -> bool:
+def is_leaving_on_all_nodes(installation: Installation, server: str) -> bool:
     return all(
         state["leaving"]
         for node in installation.nodes
@@ -37,11 +37,11 @@
     )
 
 
-def test_own_word_moves_the_answer_by_import(small: Installation) -> None:
+def test_leaving_server_moves_its_answer_by_import(small: Installation) -> None:
     with small.stream(TEXT, max_tokens=60) as stream:
         stream.read(5)
         leaving = stream.route[1]
-        leave_by_own_word(small, leaving)
+        request_leave(small, leaving)
         stream.read(20)
         small.processes[leaving].kill()
         assert stream.read() == expect_text(TEXT, max_tokens=60)
@@ -51,12 +51,12 @@
     assert any(entry["event"] == "import" for journal in journals.values() for entry in journal)
 
 
-def test_slow_link_to_the_old_server_makes_a_rebuild(small: Installation) -> None:
+def test_slow_link_to_the_leaving_server_causes_a_rebuild(small: Installation) -> None:
     small.declared["links"] = [{"halls": ["osborne", "osborne"], "latency": 0.5, "bandwidth": 1000}]
     assert small.apply().is_success
     with small.stream(TEXT, max_tokens=60) as stream:
         stream.read(5)
-        leave_by_own_word(small, stream.route[1])
+        request_leave(small, stream.route[1])
         assert stream.read() == expect_text(TEXT, max_tokens=60)
     journals = {name: small.read_journal(name) for name in small.processes if name.startswith("runner")}
     entries = [entry for journal in journals.values() for entry in journal]
@@ -64,7 +64,7 @@
     assert any(entry["event"] == "run" and entry["rebuild"] for entry in entries)
 
 
-def test_degraded_link_is_left(small: Installation) -> None:
+def test_degraded_link_is_abandoned(small: Installation) -> None:
     for index in range(4):
         read_text(small.chat(f"warm up {index}"))
     with small.stream(TEXT, max_tokens=100) as stream:
@@ -80,15 +80,15 @@
 def test_drained_server_gets_no_new_work_anywhere(pair: Installation) -> None:
     server = "runner-4a"
     drain(pair, server)
-    wait_until(lambda: is_leaving_everywhere(pair, server), timeout=IN_FORCE)
-    before = list_started(pair, server)
+    wait_until(lambda: is_leaving_on_all_nodes(pair, server), timeout=MAX_DELAY_S)
+    before = list_sessions_run(pair, server)
     for index in range(12):
         text = f"case {index}"
         assert read_text(pair.chat(text, node=pair.nodes[index % 2], max_tokens=3)) == expect_text(text, max_tokens=3)
-    assert list_started(pair, server) == before
+    assert list_sessions_run(pair, server) == before
 
 
-def test_own_word_holds_while_the_vm_list_lags(installation: Installation) -> None:
+def test_leave_request_holds_while_the_vm_list_lags(installation: Installation) -> None:
     installation.start_platform(vm_list_lag=30)
     for first, end in ((0, 6), (6, 12)):
         for letter in "ab":
@@ -97,17 +97,17 @@
     installation.apply_everywhere()
     server = "runner-6a"
     installation.client.post(installation.url("vms") + f"/control/{server}/leaving")
-    leave_by_own_word(installation, server)
-    wait_until(lambda: is_leaving_everywhere(installation, server), timeout=IN_FORCE)
-    before = list_started(installation, server)
+    request_leave(installation, server)
+    wait_until(lambda: is_leaving_on_all_nodes(installation, server), timeout=MAX_DELAY_S)
+    before = list_sessions_run(installation, server)
     for index in range(8):
         assert installation.chat(f"case {index}", max_tokens=3).is_success
-    assert list_started(installation, server) == before
+    assert list_sessions_run(installation, server) == before
 
 
-def test_vm_list_alone_is_enough(small: Installation) -> None:
+def test_vm_list_alone_marks_a_server_as_leaving(small: Installation) -> None:
     small.client.post(small.url("vms") + "/control/runner-0b/leaving")
-    wait_until(lambda: is_leaving_everywhere(small, "runner-0b"))
+    wait_until(lambda: is_leaving_on_all_nodes(small, "runner-0b"))
 
 
 def test_node_stops_without_cutting_a_stream(pair: Installation) -> None:
@@ -143,10 +143,10 @@
         first.read(3)
         second.read(3)
         pair.processes[pair.nodes[0]].send(signal.SIGTERM)
-        leave_by_own_word(pair, first.route[0])
-        drain_through = pair.nodes[1]
+        request_leave(pair, first.route[0])
+        remaining_node = pair.nodes[1]
         pair.declared["draining"] = [first.route[2]]
-        assert pair.apply(drain_through).is_success
+        assert pair.apply(remaining_node).is_success
         expected = expect_text(TEXT, max_tokens=150)
         assert first.read() == expected
         assert second.read() == expected
--- a/tests/system/test_membership.py
+++ b/tests/system/test_membership.py
@@ -30,7 +30,7 @@
     wait_until(lambda: count_members(trio, ["entry-0", "entry-1"]) == {2})
 
 
-def test_stopping_node_says_so(trio: Installation) -> None:
+def test_stopping_node_announces_its_stop(trio: Installation) -> None:
     trio.processes["entry-2"].send(signal.SIGTERM)
     assert trio.processes["entry-2"].popen.wait(timeout=30) == 0
     wait_until(lambda: count_members(trio, ["entry-0", "entry-1"]) == {2})
@@ -38,14 +38,14 @@
         assert "does not answer" not in (trio.folder / f"{node}.log").read_text()
 
 
-def test_frozen_node_is_given_up_and_taken_back(trio: Installation) -> None:
+def test_frozen_node_is_removed_and_accepted_again(trio: Installation) -> None:
     trio.processes["entry-2"].send(signal.SIGSTOP)
     wait_until(lambda: count_members(trio, ["entry-0", "entry-1"]) == {2})
     trio.processes["entry-2"].send(signal.SIGCONT)
     wait_until(lambda: count_members(trio, trio.nodes) == {3})
 
 
-def test_messages_under_another_key_are_not_heard(trio: Installation) -> None:
+def test_messages_under_another_key_are_ignored(trio: Installation) -> None:
     trio.start_node("entry-3", cluster_key="the-key-of-another-installation")
     trio.wait_started()
     wait_until(lambda: read_metric(trio.url("entry-0"), "vaneturn_dropped_replies_total") > 0)
--- a/tests/system/test_operators.py
+++ b/tests/system/test_operators.py
@@ -18,7 +18,7 @@
     return ",".join(f"127.0.0.1:{pair.ports[node]}" for node in pair.nodes)
 
 
-def test_operators_ask_and_command(pair: Installation, nodes: str, capsys: pytest.CaptureFixture[str]) -> None:
+def test_operators_query_and_change(pair: Installation, nodes: str, capsys: pytest.CaptureFixture[str]) -> None:
     with pair.stream("a long answer", max_tokens=150) as stream:
         stream.read(3)
         assert main(["--nodes", nodes, "--json", "query", "show sessions"]) == Exit.DONE
--- a/tests/system/test_overload.py
+++ b/tests/system/test_overload.py
@@ -20,7 +20,7 @@
         return list(threads.map(send, range(FLOOD)))
 
 
-def start_narrow(installation: Installation) -> None:
+def start_low_capacity(installation: Installation) -> None:
     """Start one server for each half of the model, each with a capacity of 100 tokens per second."""
     installation.start_platform()
     for first, end in ((0, 6), (6, 12)):
@@ -30,7 +30,7 @@
 
 
 def test_flood_is_served_or_refused_and_refused_was_not_run(installation: Installation) -> None:
-    start_narrow(installation)
+    start_low_capacity(installation)
     answers = flood(installation)
     served = [number for number, answer in enumerate(answers) if answer.is_success]
     refused = [answer for answer in answers if not answer.is_success]
@@ -46,8 +46,8 @@
     assert len({entry["session"] for entry in entries if entry["event"] == "run"}) == len(served)
 
 
-def test_customer_over_its_limit_is_told_429(installation: Installation) -> None:
-    start_narrow(installation)
+def test_customer_over_its_limit_gets_429(installation: Installation) -> None:
+    start_low_capacity(installation)
     limited = installation.describe_customer("small", "small-key-for-tests", "portal", max_in_progress=1)
     installation.declared["customers"].append(limited)
     assert installation.apply().is_success
--- a/tests/system/test_path.py
+++ b/tests/system/test_path.py
@@ -9,7 +9,7 @@
 from rig.installation import CUSTOMER_KEY, PIPELINE, Installation, caller_headers, expect_text, read_text
 
 
-def test_chat_whole_answer_is_the_models(small: Installation) -> None:
+def test_chat_answer_equals_the_text_of_the_model(small: Installation) -> None:
     assert read_text(small.chat("Read invoice 17")) == expect_text("Read invoice 17")
 
 
@@ -22,7 +22,7 @@
     assert "".join(texts) == expect_text("Draft a note")
 
 
-def test_chat_long_prompt_crosses_in_chunks(small: Installation) -> None:
+def test_chat_long_prompt_is_sent_in_chunks(small: Installation) -> None:
     text = "invoice line " * 400
     assert read_text(small.chat(text)) == expect_text(text)
 
--- a/tests/system/test_soak.py
+++ b/tests/system/test_soak.py
@@ -6,11 +6,11 @@
 
 from rig.soak import run_soak
 
-SECONDS = 12
+DURATION_S = 12
 SEED = 20
 
 
 def test_short_randomised_run_breaks_no_promise(tmp_path: Path) -> None:
-    findings = run_soak(tmp_path, SECONDS, SEED).findings
+    findings = run_soak(tmp_path, DURATION_S, SEED).findings
     assert findings.faults == []
     assert findings.counts["chat: whole"]
--- a/tests/system/test_whole.py
+++ b/tests/system/test_whole.py
@@ -13,8 +13,8 @@
 from rig.installation import CHAT_PATH, Installation, Stream, caller_headers, expect_text, make_chat, read_text
 from rig.measuring import read_memory, read_metric
 
-SMALL_BUFFER = 4096  # bytes; the receive buffer of the slow reader
-LONG = 3000  # tokens
+SMALL_BUFFER_BYTES = 4096  # receive buffer of the slow reader
+LONG_ANSWER_TOKENS = 3000
 
 
 @pytest.fixture
@@ -55,10 +55,10 @@
         assert all(threads.map(ask, range(48)))
 
 
-def open_slow(installation: Installation, text: str) -> Iterator[Stream]:
+def open_slow_stream(installation: Installation, text: str) -> Iterator[Stream]:
     """Open a stream over a connection with a small receive buffer."""
-    options = [(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)]
-    body = make_chat(text, max_tokens=LONG, stream=True)
+    options = [(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)]
+    body = make_chat(text, max_tokens=LONG_ANSWER_TOKENS, stream=True)
     url = installation.url("entry-1") + CHAT_PATH
     with (
         httpx.Client(transport=httpx.HTTPTransport(socket_options=options), timeout=120) as client,
@@ -67,21 +67,24 @@
         yield Stream(response)
 
 
-def find_long_text() -> str:
+def find_prompt_with_long_answer() -> str:
     """Find a prompt whose answer is long."""
-    return max((f"letter {number}" for number in range(40)), key=lambda text: len(expect_text(text, max_tokens=LONG)))
+    return max(
+        (f"letter {number}" for number in range(40)),
+        key=lambda text: len(expect_text(text, max_tokens=LONG_ANSWER_TOKENS)),
+    )
 
 
-def test_slow_reader_holds_back_its_answer_and_nothing_else(installation: Installation) -> None:
+def test_slow_reader_delays_only_its_own_answer(installation: Installation) -> None:
     installation.start_platform()
     installation.start_engine("runner-0", 0, 12, "--iteration-seconds", "0.0005")
     installation.start_node("entry-1")
     installation.apply_everywhere()
     pid = installation.processes["entry-1"].popen.pid
-    text = find_long_text()
-    expected = expect_text(text, max_tokens=LONG)
+    text = find_prompt_with_long_answer()
+    expected = expect_text(text, max_tokens=LONG_ANSWER_TOKENS)
     before = read_memory(pid)
-    for stream in open_slow(installation, text):
+    for stream in open_slow_stream(installation, text):
         stream.read(2)
         produced = -1.0
         while (now := read_metric(installation.url("entry-1"), "vaneturn_tokens_total")) != produced:
