--- a/packages/node/src/vaneturn_node/http1/__init__.py
+++ b/packages/node/src/vaneturn_node/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 over h11 and anyio, where it must be known what was sent, what came and how it ended."""
+"""HTTP/1.1 over h11 and anyio, for uses that must know what was sent, what was received and how it ended."""
--- a/packages/node/src/vaneturn_node/http1/pool.py
+++ b/packages/node/src/vaneturn_node/http1/pool.py
@@ -12,7 +12,7 @@
 
 CONNECT_TIMEOUT_S: Final = 0.3  # a healthy server accepts within a few milliseconds
 SWEEP_INTERVAL_S: Final = 1.0
-MAX_IDLE_PER_ADDRESS: Final = 8  # idle connections kept to one address
+MAX_IDLE_PER_ADDRESS: Final = 8
 MAX_IDLE_S: Final = 60.0  # the Keep-Alive timeout of the server is the shorter limit
 
 
--- a/packages/node/src/vaneturn_node/peers/meeting.py
+++ b/packages/node/src/vaneturn_node/peers/meeting.py
@@ -25,7 +25,7 @@
 
 
 async def discover_peers(store: KeyValueService, gossip: Gossip) -> None:
-    """Read the addresses through which to join, and add the own one for nodes that start later."""
+    """Read the addresses through which to join, and add this node's own for nodes that start later."""
     own = gossip.table.own.address
     for _ in range(MAX_TRIES):
         entry = await store.read(MEETING_KEY)
--- a/packages/node/src/vaneturn_node/standalone/keyvalue.py
+++ b/packages/node/src/vaneturn_node/standalone/keyvalue.py
@@ -30,7 +30,7 @@
         return _decode_entry(response)
 
     async def watch(self, key: str, after: StoreVersion, wait: float) -> Entry | Unavailable | None:
-        """Wait until the key has another version than the given one; return None after `wait` seconds without."""
+        """Wait up to `wait` seconds until the key has another version than the given one; else return None."""
         query = {"after": str(after), "wait": str(wait)}
         response = await self._call("watch", "GET", key, query=query, timeout=wait + CALL_TIMEOUT_S)
         if isinstance(response, Unavailable):
