--- a/packages/node/src/vaneturn_node/http/chat.py
+++ b/packages/node/src/vaneturn_node/http/chat.py
@@ -18,7 +18,7 @@
 from vaneturn_node.http.answerresponse import AnswerResponse
 from vaneturn_node.http.chatformat import ChatRequest, ModelCard, ModelList
 from vaneturn_node.http.errors import answer_error
-from vaneturn_node.http.reading import RESUME_HEADER, SESSION_HEADER, Call, Malformed, find_customer, read_call
+from vaneturn_node.http.reading import RESUME_HEADER, SESSION_HEADER, Call, RefusedRequest, find_customer, read_call
 from vaneturn_node.http.rendering import render_prompt
 from vaneturn_node.peers.seal import Sealer
 from vaneturn_node.runtime import Runtime, open_account
@@ -27,7 +27,7 @@
 async def list_models(request: Request, runtime: Runtime) -> Response:
     """List the pipelines by the names that callers use."""
     customer = find_customer(request, runtime.in_force.view)
-    if isinstance(customer, Malformed):
+    if isinstance(customer, RefusedRequest):
         return answer_error(customer.outcome, customer.message)
     cards = [ModelCard(name) for name in runtime.in_force.view.list_pipelines()]
     return Response(msgspec.json.encode(ModelList(cards)), media_type="application/json")
@@ -36,7 +36,7 @@
 async def complete_chat(request: Request, runtime: Runtime) -> Response:
     """Answer a chat request, or resume one whose connection was lost."""
     chat = await _read_chat(request, runtime)
-    if isinstance(chat, Malformed):
+    if isinstance(chat, RefusedRequest):
         return answer_error(chat.outcome, chat.message)
     account = open_account(runtime, chat.call.customer, chat.pipeline.name)
     refusal = runtime.admission.enter(chat.call.customer)
@@ -62,34 +62,36 @@
     return await answer.collect(first)
 
 
-async def _read_chat(request: Request, runtime: Runtime) -> ChatCall | Malformed:
+async def _read_chat(request: Request, runtime: Runtime) -> ChatCall | RefusedRequest:
     view = runtime.in_force.view
     customer = find_customer(request, view)
-    if isinstance(customer, Malformed):
+    if isinstance(customer, RefusedRequest):
         return customer
     call = await read_call(request, customer, key_required=False)
-    if isinstance(call, Malformed):
+    if isinstance(call, RefusedRequest):
         return call
     try:
         body = msgspec.json.decode(call.body, type=ChatRequest)
     except msgspec.DecodeError as error:
-        return Malformed(NotRun(Reason.MALFORMED), str(describe_decode_error(error)))
+        return RefusedRequest(NotRun(Reason.MALFORMED), str(describe_decode_error(error)))
     pipeline = view.find_pipeline(PipelineName(body.model))
     if pipeline is None:
-        return Malformed(NotRun(Reason.UNKNOWN_MODEL), f"unknown model {body.model!r}")
+        return RefusedRequest(NotRun(Reason.UNKNOWN_MODEL), f"unknown model {body.model!r}")
     text = render_prompt(body.messages)
     chat = ChatCall(call, body, view.find_class(customer), pipeline, text, encode_prompt(text), None)
     return _read_resume_point(request, runtime, chat)
 
 
-def _read_resume_point(request: Request, runtime: Runtime, chat: ChatCall) -> ChatCall | Malformed:
+def _read_resume_point(request: Request, runtime: Runtime, chat: ChatCall) -> ChatCall | RefusedRequest:
     """Read the resume point, if the request has one; a resumed answer keeps its pipeline version."""
     text = request.headers.get(RESUME_HEADER)
     if text is None or not chat.body.stream:
         return chat
     point = ResumeCodec(Sealer(runtime.settings.cluster_key)).decode(text)
     if point is None or not _matches_request(point, chat.call, chat.pipeline, chat.prompt):
-        return Malformed(NotRun(Reason.NOT_RESUMABLE), f"{RESUME_HEADER} is not the id of an event of this request")
+        return RefusedRequest(
+            NotRun(Reason.NOT_RESUMABLE), f"{RESUME_HEADER} is not the id of an event of this request"
+        )
     pipeline = msgspec.structs.replace(chat.pipeline, version=point.version)
     return replace(chat, pipeline=pipeline, resumed=point)
 
--- a/packages/node/src/vaneturn_node/http/reading.py
+++ b/packages/node/src/vaneturn_node/http/reading.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True)
-class Malformed:
+class RefusedRequest:
     """A request that is invalid or not allowed, and why."""
 
     outcome: NotRun
@@ -41,16 +41,16 @@
     repeat_key: RepeatKey | None  # of a request that must run at most once
 
 
-async def read_call(request: Request, customer: Customer, *, key_required: bool) -> Call | Malformed:
+async def read_call(request: Request, customer: Customer, *, key_required: bool) -> Call | RefusedRequest:
     """Read the parts that chat requests and calls of plain services have in common."""
     timeout = read_timeout(request)
-    if isinstance(timeout, Malformed):
+    if isinstance(timeout, RefusedRequest):
         return timeout
     repeat_key = read_repeat_key(request, required=key_required)
-    if isinstance(repeat_key, Malformed):
+    if isinstance(repeat_key, RefusedRequest):
         return repeat_key
     body = await read_body(request)
-    if isinstance(body, Malformed):
+    if isinstance(body, RefusedRequest):
         return body
     return Call(customer, body, timeout, repeat_key)
 
@@ -61,19 +61,19 @@
     return value.removeprefix(_BEARER) if value.startswith(_BEARER) else ""
 
 
-def find_customer(request: Request, view: ConfigurationView) -> Customer | Malformed:
+def find_customer(request: Request, view: ConfigurationView) -> Customer | RefusedRequest:
     """Find the customer by the request's bearer key."""
     if not view.configuration.revision:
-        return Malformed(NotRun(Reason.NO_CONFIGURATION), "this node has no configuration yet")
+        return RefusedRequest(NotRun(Reason.NO_CONFIGURATION), "this node has no configuration yet")
     customer = view.find_customer(read_bearer_key(request))
     if customer is None:
-        return Malformed(NotRun(Reason.UNKNOWN_KEY), "unknown key")
+        return RefusedRequest(NotRun(Reason.UNKNOWN_KEY), "unknown key")
     return customer
 
 
-async def read_body(request: Request) -> bytes | Malformed:
+async def read_body(request: Request) -> bytes | RefusedRequest:
     """Read the whole body, up to the size limit."""
-    too_large = Malformed(NotRun(Reason.TOO_LARGE), f"the body exceeds {MAX_BODY_BYTES} bytes")
+    too_large = RefusedRequest(NotRun(Reason.TOO_LARGE), f"the body exceeds {MAX_BODY_BYTES} bytes")
     if int(request.headers.get("Content-Length", "0") or 0) > MAX_BODY_BYTES:
         return too_large
     body = bytearray()
@@ -84,7 +84,7 @@
     return bytes(body)
 
 
-def read_timeout(request: Request) -> float | Malformed:
+def read_timeout(request: Request) -> float | RefusedRequest:
     """Read the seconds that the caller waits."""
     text = request.headers.get(TIMEOUT_HEADER)
     if text is None:
@@ -94,11 +94,11 @@
     except ValueError:
         timeout = 0.0
     if not 0 < timeout <= MAX_TIMEOUT_S:
-        return Malformed(NotRun(Reason.MALFORMED), f"{TIMEOUT_HEADER}: expected seconds up to {MAX_TIMEOUT_S}")
+        return RefusedRequest(NotRun(Reason.MALFORMED), f"{TIMEOUT_HEADER}: expected seconds up to {MAX_TIMEOUT_S}")
     return timeout
 
 
-def read_repeat_key(request: Request, *, required: bool) -> RepeatKey | Malformed | None:
+def read_repeat_key(request: Request, *, required: bool) -> RepeatKey | RefusedRequest | None:
     """Read the key of a request that must run at most once; return None if it may be repeated."""
     marked = request.headers.get(REPEAT_HEADER, "").lower() == "never"
     if not marked and not required:
@@ -106,7 +106,7 @@
     key = request.headers.get(KEY_HEADER, "")
     if not key:
         message = f"a request that must not be repeated needs the header {KEY_HEADER}"
-        return Malformed(NotRun(Reason.MALFORMED), message)
+        return RefusedRequest(NotRun(Reason.MALFORMED), message)
     return RepeatKey(key)
 
 
@@ -114,7 +114,7 @@
     "RESUME_HEADER",
     "SESSION_HEADER",
     "Call",
-    "Malformed",
+    "RefusedRequest",
     "find_customer",
     "read_bearer_key",
     "read_call",
--- a/packages/node/src/vaneturn_node/http/services.py
+++ b/packages/node/src/vaneturn_node/http/services.py
@@ -18,7 +18,7 @@
 from vaneturn_node.clock import read_clock
 from vaneturn_node.http.accounting import Account
 from vaneturn_node.http.errors import answer_error
-from vaneturn_node.http.reading import Call, Malformed, find_customer, read_call
+from vaneturn_node.http.reading import Call, RefusedRequest, find_customer, read_call
 from vaneturn_node.http1.messages import MAX_REST_S, parse_decimal
 from vaneturn_node.runtime import Runtime, open_account
 
@@ -38,13 +38,13 @@
     """Forward a call to one of the service's servers."""
     view = runtime.in_force.view
     customer = find_customer(request, view)
-    if isinstance(customer, Malformed):
+    if isinstance(customer, RefusedRequest):
         return answer_error(customer.outcome, customer.message)
     service = view.find_service(ServiceName(request.path_params["name"]))
     if service is None:
         return answer_error(NotRun(Reason.UNKNOWN_SERVICE), "unknown service")
     call = await read_call(request, customer, key_required=request.method not in service.repeatable_methods)
-    if isinstance(call, Malformed):
+    if isinstance(call, RefusedRequest):
         return answer_error(call.outcome, call.message)
     account = open_account(runtime, customer, service.name)
     refusal = runtime.admission.enter(customer)
