--- a/packages/node/src/vaneturn_node/peers/gossip.py
+++ b/packages/node/src/vaneturn_node/peers/gossip.py
@@ -197,8 +197,8 @@
             and own not in members
             and any(member.address == received.sender for member in received.members)
         ):
-            others = self.table.pick_random_peers(own.node, max(0, MAX_REPORTED_MEMBERS - len(members) - 1))
-            members = [*members, own, *(other for other in others if other not in members)]
+            peers = self.table.pick_random_peers(own.node, max(0, MAX_REPORTED_MEMBERS - len(members) - 1))
+            members = [*members, own, *(peer for peer in peers if peer not in members)]
         return GossipReport(self._read_revision(), own.address, members, sorted(self._leaving))
 
     async def _send(self, address: str, datagram: Datagram) -> None:
--- a/packages/node/src/vaneturn_node/peers/messages.py
+++ b/packages/node/src/vaneturn_node/peers/messages.py
@@ -99,12 +99,12 @@
     member: Member
 
 
-class Received(Struct, frozen=True, tag=15, array_like=True):
+class Accepted(Struct, frozen=True, tag=15, array_like=True):
     """The request was accepted and needs no other answer."""
 
 
 Query = FetchConfiguration | ClaimRequest | ReleaseRequest | HandOver | Introduce
-Answer = ConfigurationDocument | ClaimAnswer | Introduction | Received
+Answer = ConfigurationDocument | ClaimAnswer | Introduction | Accepted
 
 DATAGRAM_DECODER: Final = msgspec.msgpack.Decoder(Datagram)
 QUERY_DECODER: Final = msgspec.msgpack.Decoder(Query)
@@ -116,6 +116,7 @@
     "DATAGRAM_DECODER",
     "ENCODER",
     "QUERY_DECODER",
+    "Accepted",
     "Ack",
     "Answer",
     "ClaimAnswer",
@@ -130,6 +131,5 @@
     "Ping",
     "PingFor",
     "Query",
-    "Received",
     "ReleaseRequest",
 ]
--- a/packages/node/src/vaneturn_node/peers/wiring.py
+++ b/packages/node/src/vaneturn_node/peers/wiring.py
@@ -13,6 +13,7 @@
 from vaneturn_node.peers.gossip import Gossip
 from vaneturn_node.peers.meeting import discover_peers
 from vaneturn_node.peers.messages import (
+    Accepted,
     Answer,
     ClaimAnswer,
     ClaimRequest,
@@ -22,7 +23,6 @@
     Introduce,
     Introduction,
     Query,
-    Received,
     ReleaseRequest,
 )
 from vaneturn_node.peers.requests import PeerServer
@@ -73,9 +73,9 @@
                 return ClaimAnswer(self.runtime.ownership.claim(customer, repeat_key, claim))
             case ReleaseRequest(customer, repeat_key, claim):
                 self.runtime.ownership.release(customer, repeat_key, claim)
-                return Received()
+                return Accepted()
             case HandOver():
-                return Received() if await self.runtime.ownership.take_over(query) else None
+                return Accepted() if await self.runtime.ownership.take_over(query) else None
             case Introduce(member):
                 self.gossip.table.merge([member])
                 return Introduction(self.gossip.table.own)
--- a/tests/node/test_ownership.py
+++ b/tests/node/test_ownership.py
@@ -17,7 +17,7 @@
 from vaneturn_core.ports import Conflict, Entry, Unavailable
 from vaneturn_node.claims import ownership as module
 from vaneturn_node.claims.ownership import SlotOwnership
-from vaneturn_node.peers.messages import Answer, HandOver, Query, Received
+from vaneturn_node.peers.messages import Accepted, Answer, HandOver, Query
 from vaneturn_node.peers.requests import PeerClient
 
 CUSTOMER = CustomerName("osborne-finance")
@@ -71,7 +71,7 @@
             self._lost -= 1
             return None
         assert isinstance(query, HandOver)
-        return Received() if await self._owners[address].take_over(query) else None
+        return Accepted() if await self._owners[address].take_over(query) else None
 
 
 def make_member(index: int) -> Member:
