--- a/packages/node/src/vaneturn_node/http1/server.py
+++ b/packages/node/src/vaneturn_node/http1/server.py
@@ -17,7 +17,7 @@
 
 RECEIVE_BYTES: Final = 65536
 MAX_READ_AHEAD_BYTES: Final = 65536  # of pipelined requests that are read while one is answered
-FINAL_READ_TIMEOUT_S: Final = 0.05  # for a request that was sent before its client could see a planned stop
+LAST_WAIT_S: Final = 0.05  # for a request that was sent before its client could see a planned stop
 LINGER_TIMEOUT_S: Final = 0.5  # for a client to read the answer to a request that was not read whole
 HEADER_OVERHEAD_BYTES: Final = 4  # of a header line, besides its name and value
 NO_BODY_STATUSES: Final = frozenset({204, 304})
@@ -213,12 +213,12 @@
         with anyio.CancelScope() as scope:
             self._idle_scopes.add(scope)
             try:
-                return await self._receive_first_bytes(self._limits.idle_time)
+                return await self._read_first(self._limits.idle_time)
             finally:
                 self._idle_scopes.discard(scope)
-        return await self._receive_first_bytes(FINAL_READ_TIMEOUT_S)
+        return await self._read_first(LAST_WAIT_S)
 
-    async def _receive_first_bytes(self, limit: float) -> bool:
+    async def _read_first(self, limit: float) -> bool:
         """Receive the first bytes; return false if none arrive in time or the client has disconnected."""
         with anyio.move_on_after(limit):
             data = await self._receive()
--- a/tests/rig/trafficmechanisms.py
+++ b/tests/rig/trafficmechanisms.py
@@ -396,13 +396,7 @@
     Proof(
         "a request that has arrived with the signal is read",
         f"{SYSTEM}/test_stopping.py::test_request_that_has_arrived_with_the_signal_is_served",
-        (
-            Edit(
-                "node/src/vaneturn_node/http1/server.py",
-                "return await self._receive_first_bytes(FINAL_READ_TIMEOUT_S)",
-                "return False",
-            ),
-        ),
+        (Edit("node/src/vaneturn_node/http1/server.py", "return await self._read_first(LAST_WAIT_S)", "return False"),),
     ),
     Proof(
         "newest values are read in place of changes that are too long",
