--- a/packages/node/src/vaneturn_node/clock.py
+++ b/packages/node/src/vaneturn_node/clock.py
@@ -1,4 +1,4 @@
-"""A clock that also runs while the VM is suspended: ages of data, leases, deadlines of callers and rests depend on it.
+"""A clock that runs on while the VM is suspended, so that ages, leases, callers' deadlines and rests expire in time.
 
 Timeouts of single calls and sleeps use the clock of the event loop, which stops during a suspension, so they end later.
 Code that must not act after an expiry therefore reads this clock right before it acts, and waits in progress are
--- a/packages/node/src/vaneturn_node/http/answering.py
+++ b/packages/node/src/vaneturn_node/http/answering.py
@@ -82,7 +82,7 @@
 
     @property
     def headers(self) -> dict[str, str]:
-        """Headers with the ids of the request and of the route on which it started."""
+        """Headers that name the request and the route on which it started."""
         routes = self._generation.routes
         return {
             REQUEST_HEADER: self._account.id,
--- a/packages/node/src/vaneturn_node/http1/link.py
+++ b/packages/node/src/vaneturn_node/http1/link.py
@@ -45,7 +45,7 @@
 
 
 class HttpLink:
-    """A connection that carries one exchange at a time."""
+    """A connection that carries one exchange at a time; all limits are in seconds."""
 
     def __init__(self, stream: SocketStream) -> None:
         self._stream = stream
--- a/packages/node/src/vaneturn_node/http1/pool.py
+++ b/packages/node/src/vaneturn_node/http1/pool.py
@@ -13,7 +13,7 @@
 CONNECT_TIMEOUT_S: Final = 0.3  # a healthy server accepts within a few milliseconds
 SWEEP_INTERVAL_S: Final = 1.0
 MAX_IDLE_PER_ADDRESS: Final = 8
-MAX_IDLE_S: Final = 60.0  # the Keep-Alive timeout of the server is the shorter limit
+MAX_IDLE_S: Final = 60.0  # an upper bound; the Keep-Alive timeout of the server is shorter
 
 
 class LinkPool:
