--- a/packages/node/src/vaneturn_node/claims/bykey.py
+++ b/packages/node/src/vaneturn_node/claims/bykey.py
@@ -1,4 +1,4 @@
-"""A claim for each request, made by compare-and-swap on a key of its own in the key-value service."""
+"""Claims that are compare-and-swap writes in the key-value service, with one key for each request."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 class ClaimState(Enum):
     """State of a claimed request."""
 
-    HELD = "held"  # it may have run
-    RELEASED = "released"  # it was not run and may be claimed again
+    HELD = "held"  # the request may have run
+    RELEASED = "released"  # the request was not run and may be claimed again
 
 
 class ClaimRecord(Struct, frozen=True):
-    """What is stored under the key of a claim."""
+    """The value stored under the key of a claim."""
 
     id: str
     node: NodeId
@@ -34,14 +34,14 @@
 
 
 class ClaimsByKey:
-    """Two writes at most for each request; nothing of it lives in the node."""
+    """Claims requests with at most two writes each and keeps no state in the node."""
 
     def __init__(self, store: KeyValueService, node: NodeId) -> None:
         self._store = store
         self._node = node
 
     async def claim(self, customer: CustomerName, repeat_key: RepeatKey) -> Claim | NotRun | Unknown:
-        """Claim a request, or say why it is not run."""
+        """Claim a request, or return why it is not run."""
         key = name_claim(customer, repeat_key)
         entry = await self._store.read(key)
         if isinstance(entry, Unavailable):
@@ -59,11 +59,11 @@
     async def _settle(
         self, customer: CustomerName, repeat_key: RepeatKey, record: ClaimRecord
     ) -> Claim | NotRun | Unknown:
-        """Find out after a lost answer whether the claim was won."""
+        """Find out whether the claim was won, after the answer to its write was lost."""
         key = name_claim(customer, repeat_key)
         entry = await self._store.read(key)
         if isinstance(entry, Unavailable):
-            # nothing runs here, yet the claim may stand: a later try with the key is told that it is claimed
+            # The request is not run, but the claim may be stored: a retry with this key may be refused as claimed.
             return NotRun(Reason.CLAIM_STORE_DOWN)
         if entry.value and msgspec.json.decode(entry.value, type=ClaimRecord).id == record.id:
             return Claim(record.id, customer, repeat_key, entry.version)
@@ -72,7 +72,7 @@
         return NotRun(Reason.CLAIM_STORE_DOWN)
 
     async def release(self, claim: Claim) -> None:
-        """Give up a claim whose request was not run, so that the caller may try again."""
+        """Release the claim of a request that was not run, so that the caller may retry."""
         record = ClaimRecord(claim.id, self._node, ClaimState.RELEASED)
         if claim.version is None:
             raise AssertionError("a claim by key has a version")
@@ -81,7 +81,7 @@
 
 
 def name_claim(customer: CustomerName, repeat_key: RepeatKey) -> str:
-    """Name the key of a claim; the caller's own text does not appear in it."""
+    """Compute the key of a claim; the repeat key itself does not appear in it."""
     digest = hashlib.sha256(f"{customer}\0{repeat_key}".encode()).hexdigest()
     return PREFIX + digest[:32]
 
--- a/packages/node/src/vaneturn_node/claims/byslot.py
+++ b/packages/node/src/vaneturn_node/claims/byslot.py
@@ -1,4 +1,4 @@
-"""Claims with the owners of slots: no call on the key-value service for a request."""
+"""Claims decided by the owners of slots, without a call to the key-value service for each request."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 from vaneturn_node.peers.requests import PeerClient
 
 ASK_TIMEOUT: Final = 0.5  # seconds
-TRIES: Final = 5  # with the same claim id, so that a lost answer wins no second claim
-CLAIM_TIME: Final = 1.5  # seconds after which a request is refused as not run; it is not held back for longer
-PAUSE: Final = 0.1  # seconds between two tries, full jitter; slots change hands meanwhile
+TRIES: Final = 5  # all with the same claim id, so that a retry after a lost answer is no second claim
+CLAIM_TIME: Final = 1.5  # seconds until an undecided request is refused as not run
+PAUSE: Final = 0.1  # seconds at most between two tries, full jitter; the slot may get a new owner in between
 
 logger = logging.getLogger(__name__)
 
@@ -33,7 +33,7 @@
 
 
 class ClaimsBySlot:
-    """Asks the owner of a key's slot, which may be this node."""
+    """Sends each claim to the owner of the key's slot, which may be this node."""
 
     def __init__(self, node: NodeId, ownership: SlotOwnership, client: PeerClient) -> None:
         self._node = node
@@ -41,7 +41,7 @@
         self._client = client
 
     async def claim(self, customer: CustomerName, repeat_key: RepeatKey) -> Claim | NotRun | Unknown:
-        """Claim a request, or say why it is not run."""
+        """Claim a request, or return why it is not run."""
         if read_key_time(repeat_key) is None:
             return NotRun(Reason.KEY_WITHOUT_TIME)
         claim = Claim(uuid.uuid4().hex, customer, repeat_key)
@@ -49,11 +49,11 @@
             outcome = await self._find_taker(claim)
             if outcome is not None:
                 return outcome
-        # nothing runs here; the owner may hold the claim all the same, and then says so to a later try
+        # The request is not run, but the owner may have stored the claim: a retry may then be refused as claimed.
         return NotRun(Reason.CLAIM_OWNER_AWAY, retry_after=2.0)
 
     async def _find_taker(self, claim: Claim) -> Claim | NotRun | Unknown | None:
-        """Ask the owner, and the next one if the slot changes hands meanwhile; none if no owner decides."""
+        """Ask the slot's owner, and a new owner if the slot is reassigned meanwhile; None if no owner decides."""
         for _ in range(TRIES):
             owner = self._ownership.find_owner(claim.customer, claim.repeat_key)
             verdict = await self._ask(owner, claim) if owner else Verdict.NOT_OWNER
@@ -74,7 +74,7 @@
         return answer.verdict if isinstance(answer, ClaimAnswer) else None
 
     async def release(self, claim: Claim) -> None:
-        """Give up a claim whose request was not run; if the word is lost, the key stays claimed."""
+        """Release the claim of a request that was not run; if the message is lost, the key stays claimed."""
         owner = self._ownership.find_owner(claim.customer, claim.repeat_key)
         if owner is None:
             return
--- a/packages/node/src/vaneturn_node/claims/chosen.py
+++ b/packages/node/src/vaneturn_node/claims/chosen.py
@@ -1,4 +1,4 @@
-"""Claims by the mode that the configuration in force names."""
+"""Claims in the mode set by the configuration in force."""
 
 from __future__ import annotations
 
@@ -11,18 +11,21 @@
 
 
 class ChosenClaims:
-    """Hands each claim to the mode in force; only claims by key have a version."""
+    """Delegates each claim to the mode in force.
+
+    A release goes to the mode that made the claim: only claims by key have a version.
+    """
 
     def __init__(self, by_mode: dict[ClaimMode, Claims], read_mode: Callable[[], ClaimMode]) -> None:
         self._by_mode = by_mode
         self._read_mode = read_mode
 
     async def claim(self, customer: CustomerName, repeat_key: RepeatKey) -> Claim | NotRun | Unknown:
-        """Claim a request, or say why it is not run."""
+        """Claim a request, or return why it is not run."""
         return await self._by_mode[self._read_mode()].claim(customer, repeat_key)
 
     async def release(self, claim: Claim) -> None:
-        """Give up a claim whose request was not run."""
+        """Release the claim of a request that was not run."""
         mode = ClaimMode.BY_KEY if claim.version else ClaimMode.BY_SLOT
         await self._by_mode[mode].release(claim)
 
--- a/packages/node/src/vaneturn_node/claims/ownership.py
+++ b/packages/node/src/vaneturn_node/claims/ownership.py
@@ -1,4 +1,4 @@
-"""The slots that this node owns, and the map by which it finds the owners of others."""
+"""The slots that this node owns, and the map of the owners of all slots."""
 
 from __future__ import annotations
 
@@ -20,40 +20,39 @@
 from vaneturn_node.peers.messages import HandOver
 from vaneturn_node.peers.requests import PeerClient
 
-CONFIRM_INTERVAL: Final = 2.0  # seconds; one waiting watch of each owner
-CONFIRM_BOUND: Final = 6.0  # seconds after which an owner that could not confirm its epoch takes nothing
+CONFIRM_INTERVAL: Final = 2.0  # seconds; the duration of an owner's watch of the map
+CONFIRM_BOUND: Final = 6.0  # seconds without a confirmation of the map after which an owner accepts no claims
 RETRY: Final = 0.3  # seconds, full jitter
-HAND_OVER_TIMEOUT: Final = 1.0  # seconds for one try to give a slot to its next owner
+HAND_OVER_TIMEOUT: Final = 1.0  # seconds for one try to hand a slot over to its next owner
 HAND_OVER_TRIES: Final = 20
-HAND_OVER_TIME: Final = 8.0  # seconds for all of it; a stop does not wait for an outage of the store
+HAND_OVER_TIME: Final = 8.0  # seconds for the whole handover; bounds a stop during an outage of the store
 HAND_OVER_PAUSE: Final = 0.2  # seconds between two tries
-IDLE: Final = 1.0  # seconds between looks whether this node has a part in the slots
-ASKED_AGE: Final = (
-    5.0  # seconds since a claim for a slot of others for which this node looks at the map: who asks may know
-)
-# a newer map, in which the slot is its own
-ASSIGNERS: Final = 2  # nodes of each data hall that look after the map besides the owners
+IDLE: Final = 1.0  # seconds between checks whether this node takes part in keeping the map
+# Seconds for which a node keeps refreshing the map after it was asked for a claim in a slot that it doesn't own: the
+# asking node may know a newer map, in which this node owns the slot.
+ASKED_AGE: Final = 5.0
+ASSIGNERS: Final = 2  # nodes of each data hall that keep the map assigned, besides the owners
 
 logger = logging.getLogger(__name__)
 
 
 class SlotOwnership:
-    """Confirms the map with the key-value service; takes claims for the own slots while it is sure of them."""
+    """Confirms the map with the key-value service, and decides claims for own slots while the map is confirmed."""
 
     def __init__(self, store: KeyValueService, table: MemberTable, introduce: AskWho = ask_nobody) -> None:
         self._store = store
         self._table = table
         self._unmet = UnmetOwners(table, introduce)
-        self._version = StoreVersion(-1)  # no version of a key, so the first watch answers at once
-        self._confirmed_at = float("-inf")  # when the question was asked whose answer confirmed the map last
-        self._accept_from: dict[int, float] = {}  # for each own slot, on the clock of read_clock
+        self._version = StoreVersion(-1)  # differs from any version of a key, so that the first watch returns at once
+        self._confirmed_at = float("-inf")  # when the call was sent whose answer last confirmed the map
+        self._accept_from: dict[int, float] = {}  # own slot -> time of read_clock() from which claims are accepted
         self._ledgers: dict[int, SlotLedger] = {}
         self._is_stopping = False
-        self._asked_at = float("-inf")  # for a slot that is not its own by the map it knows
+        self._asked_at = float("-inf")  # when a claim last arrived for a slot that this node doesn't own
         self.map = SlotMap()
 
     async def run(self) -> None:
-        """Keep the map confirmed and assigned until cancelled; nodes without a part in it only look now and then."""
+        """Keep the map confirmed and assigned until cancelled; other nodes only check whether they should take part."""
         while True:
             if not self._has_part():
                 await anyio.sleep(IDLE)
@@ -68,13 +67,13 @@
         return is_asked or bool(self._accept_from) or not self.map.slots or self._table.has_role("slots", ASSIGNERS)
 
     async def refresh(self, wait: float) -> bool:
-        """Confirm the map, or take the newer one; false when the service gave no answer."""
+        """Confirm the map, or adopt a newer one; false if the service gave no answer."""
         started = read_clock()
         entry = await self._store.watch(SLOTS_KEY, self._version, wait)
         if isinstance(entry, Unavailable):
             return False
         if started < self._confirmed_at:
-            return True  # a later question was answered first; this answer may hold an older map
+            return True  # a call sent later was answered first, so this answer may hold an older map
         if entry is not None:
             self._take(entry)
         self._confirmed_at = started
@@ -84,7 +83,7 @@
         slot_map = msgspec.json.decode(entry.value, type=SlotMap) if entry.value else SlotMap()
         self._version = entry.version
         if slot_map.epoch < self.map.epoch:
-            logger.warning("slot map went back", extra={"epoch": slot_map.epoch, "known": self.map.epoch})
+            logger.warning("slot map reverted", extra={"epoch": slot_map.epoch, "known": self.map.epoch})
             self._drop_slots()
         self.map = slot_map
         own = slot_map.list_slots(self._table.own.node)
@@ -94,17 +93,17 @@
             del self._accept_from[slot]
             del self._ledgers[slot]
         for slot in own - self._accept_from.keys():
-            # the owner before may take claims until its last confirmation lapses
+            # The previous owner may accept claims until its last confirmation lapses.
             self._accept_from[slot] = read_clock() + CONFIRM_BOUND
             self._ledgers[slot] = SlotLedger(taken_at=time.time() + CONFIRM_BOUND)
 
     def _drop_slots(self) -> None:
-        """Begin anew with every slot: what was decided under another epoch line is not known."""
+        """Forget all slots: after a revert of the map, claims decided since then are unknown."""
         self._accept_from.clear()
         self._ledgers.clear()
 
     async def _assign(self) -> None:
-        """Give the slots of owners that are gone to others; a first map waits until the nodes have met."""
+        """Reassign the slots of owners that are gone; the first map waits until the member table has settled."""
         if not self._unmet.is_settled() and not self.map.slots:
             return
         wanted = await self._make_map()
@@ -113,20 +112,20 @@
         await self._write(wanted)
 
     async def _make_map(self) -> SlotMap | None:
-        """Make the next map, if one is needed."""
+        """Compute the next map, if one is needed."""
         while True:
             asked = self.map.owners
             present = await self._unmet.find_present(asked)
-            if asked == self.map.owners:  # a newer map may have come meanwhile
+            if asked == self.map.owners:  # a newer map may have arrived meanwhile
                 return reassign_slots(self.map, self._table.list_active(), present)
 
     async def hand_over(self, client: PeerClient) -> None:
-        """At a planned stop give each slot with its claims to another node, so that no key has to be refused.
+        """Hand each slot with its claims over to another node at a planned stop, so that no key has to be refused.
 
-        The member table must say already that this node is stopping.
+        This node must already be marked as stopping in the member table.
         """
-        self._is_stopping = True  # from here on no claim is taken, so what is handed over is all there is
-        ledgers = dict(self._ledgers)  # the waiting watch may see the new map, and drop them, before the write returns
+        self._is_stopping = True  # no claims are accepted from here on, so the ledgers handed over are complete
+        ledgers = dict(self._ledgers)  # the pending watch may return the new map, and drop them, before the write ends
         if not ledgers:
             return
         with anyio.move_on_after(HAND_OVER_TIME) as scope:
@@ -138,7 +137,7 @@
             logger.warning("slots not handed over in time", extra={"slots": len(ledgers)})
 
     async def _leave_map(self) -> bool:
-        """Write a map without this node; another node that stops or assigns at the same time may come first."""
+        """Write a map without this node; retried, as other nodes may write the map at the same time."""
         for _ in range(HAND_OVER_TRIES):
             if await self.refresh(0.0):
                 wanted = await self._make_map()
@@ -150,7 +149,7 @@
         return False
 
     async def _give(self, client: PeerClient, slot: int, ledger: SlotLedger) -> None:
-        """Give a slot to its next owner until one has said that it took it; a repeat changes nothing."""
+        """Hand a slot over to its next owner, with retries until one confirms; a repeat changes nothing."""
         for _ in range(HAND_OVER_TRIES):
             owner = self.map.find_owner(slot)
             if owner is not None and owner.node != self._table.own.node:
@@ -158,11 +157,11 @@
                 if await client.ask(owner.address, given, HAND_OVER_TIMEOUT) is not None:
                     return
             await anyio.sleep(HAND_OVER_PAUSE)
-            await self.refresh(0.0)  # the next owner may stop as well
+            await self.refresh(0.0)  # the next owner may be stopping as well
         logger.warning("slot not handed over", extra={"slot": slot})
 
     async def take_over(self, given: HandOver) -> bool:
-        """Go on with a slot at once; false if this node is not its next owner, or stops as well."""
+        """Accept claims for a handed-over slot at once; false if this node is not its next owner or is stopping."""
         if self.map.epoch < given.epoch:
             await self.refresh(0.0)
         if self._is_stopping or self.map.epoch != given.epoch or given.slot not in self._accept_from:
@@ -179,14 +178,14 @@
         return written
 
     def find_owner(self, customer: CustomerName, repeat_key: RepeatKey) -> SlotOwner | None:
-        """Find the owner of a key's slot by the newest map known."""
+        """Find the owner of a key's slot in the newest known map."""
         return self.map.find_owner(find_slot(customer, repeat_key))
 
     def claim(self, customer: CustomerName, repeat_key: RepeatKey, claim: str) -> Verdict:
-        """Take a claim for an own slot; no await between the checks and the ledger.
+        """Decide a claim for an own slot, without an await between the checks and the ledger.
 
-        The wall clock is read first: if this process is paused after the confirmation was checked, the key that it
-        then takes was made before the pause, and a new owner refuses such keys as too old.
+        The wall clock is read first: if this process is paused after the check of the confirmation, a key that it
+        accepts afterwards was created before the pause, and a new owner refuses such keys as too old.
         """
         now = time.time()
         made_at = read_key_time(repeat_key)
@@ -199,7 +198,7 @@
         return ledger.claim(customer, repeat_key, claim, made_at, now)
 
     def _find_ledger(self, slot: int) -> SlotLedger | None:
-        """Find the ledger of an own slot, if this node is sure of it now."""
+        """Find the ledger of an own slot, if this node may accept claims for the slot now."""
         clock = read_clock()
         if self._is_stopping or clock >= self._confirmed_at + CONFIRM_BOUND:
             return None
@@ -208,7 +207,7 @@
         return self._ledgers.get(slot)
 
     def release(self, customer: CustomerName, repeat_key: RepeatKey, claim: str) -> None:
-        """Forget a claim whose request was not run."""
+        """Release the claim of a request that was not run."""
         ledger = self._ledgers.get(find_slot(customer, repeat_key))
         if ledger is not None:
             ledger.release(customer, repeat_key, claim)
--- a/packages/node/src/vaneturn_node/claims/ports.py
+++ b/packages/node/src/vaneturn_node/claims/ports.py
@@ -1,4 +1,4 @@
-"""What request handlers need of claims."""
+"""Interface of claims for request handlers."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 @dataclass(frozen=True)
 class Claim:
-    """A claim that was won: its holder alone may run the request, once."""
+    """A won claim; only its holder may run the request, and only once."""
 
     id: str
     customer: CustomerName
     repeat_key: RepeatKey
-    version: StoreVersion | None = None  # of the claim's own key, where it has one
+    version: StoreVersion | None = None  # of the claim's key in the store; None for a claim by slot
 
 
 class Claims(Protocol):
     """Claims on requests that must run at most once over all nodes."""
 
     async def claim(self, customer: CustomerName, repeat_key: RepeatKey) -> Claim | NotRun | Unknown:
-        """Claim a request, or say why it is not run."""
+        """Claim a request, or return why it is not run."""
 
     async def release(self, claim: Claim) -> None:
-        """Give up a claim whose request was not run, so that the caller may try again."""
+        """Release the claim of a request that was not run, so that the caller may retry."""
 
 
 __all__ = ["Claim", "Claims"]
--- a/packages/node/src/vaneturn_node/claims/unmet.py
+++ b/packages/node/src/vaneturn_node/claims/unmet.py
@@ -1,4 +1,4 @@
-"""Owners of slots that this node has never heard of: asked for themselves before they count as gone."""
+"""Owners of slots that are missing from this node's member table; they are asked before they count as gone."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from vaneturn_core.membership.table import MemberTable
 from vaneturn_node.clock import read_clock
 
-AskWho = Callable[[str], Awaitable[Member | None]]  # asks who has a peer address; none without an answer
+AskWho = Callable[[str], Awaitable[Member | None]]  # asks which member has a peer address; None without an answer
 
-SETTLE_TIME: Final = 2.0  # seconds; a node that lost the race for the meeting point tries again after 1 s
+SETTLE_TIME: Final = 2.0  # seconds; a node whose write to the meeting point met a conflict retries after 1 s
 
 logger = logging.getLogger(__name__)
 
 
 async def ask_nobody(_address: str) -> None:
-    """Give no answer, as a node does that cannot be reached."""
+    """Return no answer, like an unreachable node."""
 
 
 class UnmetOwners:
-    """Tells owners that have gone from owners that this node has not met yet.
+    """Distinguishes owners that are gone from owners that this node does not know yet.
 
-    A node that has just started knows itself alone. To take every other owner for gone then takes slots from owners
-    that live, whose callers are refused until a new owner can vouch for their keys; nodes that start together do so to
-    each other in turn.
+    The member table of a node that has just started holds only the node itself. If it treated all other owners as
+    gone, it would take slots from live owners, and requests with keys of these slots would be refused until the new
+    owner may accept them. Nodes that start together would do this to each other in turn.
     """
 
     def __init__(self, table: MemberTable, introduce: AskWho) -> None:
@@ -41,14 +41,14 @@
         self._known_since = float("-inf")
 
     def is_settled(self) -> bool:
-        """Tell whether this node has known the same nodes for a while, so that a first map may name them."""
+        """Tell whether the active members have not changed for a while, so that the first map may be written."""
         known = frozenset(member.node for member in self._table.list_active())
         if known != self._known:
             self._known, self._known_since = known, read_clock()
         return read_clock() - self._known_since >= SETTLE_TIME
 
     async def find_present(self, owners: Iterable[SlotOwner]) -> frozenset[NodeId]:
-        """Ask the owners that were never heard of; gives those that may live without this node having met them."""
+        """Ask the owners that are not in the member table; return those that may be alive although still unknown."""
         unmet = [owner for owner in owners if not self._table.is_known(owner.node)]
         self._unmet_since = {owner.node: self._unmet_since.get(owner.node, read_clock()) for owner in unmet}
         present = {owner.node for owner in unmet}
@@ -58,7 +58,7 @@
         return frozenset(present)
 
     async def _meet(self, owner: SlotOwner, since: float, present: set[NodeId]) -> None:
-        """Meet an owner, or find that it has gone: another node has its address, or nobody answers for long."""
+        """Ask at an owner's address; it is gone if another node answers, or none for the suspicion time."""
         member = await self._introduce(owner.address)
         if member is not None:
             self._table.merge([member])
