--- a/packages/node/src/vaneturn_node/configuration/__init__.py
+++ b/packages/node/src/vaneturn_node/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration in force on a node: following, changing and sharing it."""
+"""The configuration in force on a node, changes to it and the follower of its key."""
--- a/packages/node/src/vaneturn_node/configuration/changes.py
+++ b/packages/node/src/vaneturn_node/configuration/changes.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration by operators."""
+"""Changes to the configuration by operators."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from vaneturn_node.configuration.inforce import ConfigurationInForce
 
 SETTLE_TIME: Final = 5.0  # seconds to find out whether a write with a lost answer took effect
-SETTLE_RETRY: Final = 0.2
+SETTLE_RETRY: Final = 0.2  # seconds
 
 logger = logging.getLogger(__name__)
 
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class Unsettled:
-    """Whether the change took effect is not known yet; ask for the change's id later."""
+    """It is not known yet whether the change took effect; query its id later."""
 
     change: ChangeId
 
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True)
 class Proposal:
-    """A whole new configuration, made from the one with the revision that it is based on."""
+    """A complete new configuration, and the revision that it was derived from."""
 
     id: ChangeId
     operator: str
@@ -86,14 +86,14 @@
 
 
 class Changes:
-    """Writes accepted changes by compare-and-swap on one key."""
+    """Checks changes and writes them by compare-and-swap on one key."""
 
     def __init__(self, store: KeyValueService, in_force: ConfigurationInForce) -> None:
         self._store = store
         self._in_force = in_force
 
     async def apply(self, proposal: Proposal) -> ChangeResult:
-        """Apply a change, or say why not; the same id never applies twice."""
+        """Apply a change, or return why not; the same id is never applied twice."""
         faults = check_configuration(proposal.declared)
         if faults:
             return Rejected(tuple(faults))
@@ -127,7 +127,7 @@
         return Applied(change)
 
     async def _settle(self, change: ChangeId) -> ChangeResult:
-        """Find out after a lost answer or a conflict whether the change is in the store."""
+        """Find out whether the change is in the store, after a lost answer or a conflict."""
         with anyio.move_on_after(SETTLE_TIME):
             while True:
                 entry = await self._store.read(CONFIGURATION_KEY)
--- a/packages/node/src/vaneturn_node/configuration/follower.py
+++ b/packages/node/src/vaneturn_node/configuration/follower.py
@@ -1,4 +1,4 @@
-"""Following the configuration's key in the platform's key-value service."""
+"""Follower of the configuration's key in the platform's key-value service."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from vaneturn_core.ports import Entry, KeyValueService, Unavailable
 from vaneturn_node.configuration.inforce import ConfigurationInForce, Offer
 
-WATCH: Final = 20.0  # seconds; one counted call for each
-WATCHERS: Final = 4  # nodes of each data hall that watch; the others hear of a change from their peers
-CHOICE_INTERVAL: Final = 1.0  # seconds
+WATCH: Final = 20.0  # seconds; the service counts each watch as one call
+WATCHERS: Final = 4  # nodes of each data hall that watch; the others get changes from their peers
+CHOICE_INTERVAL: Final = 1.0  # seconds between checks whether this node should watch
 FIRST_BACKOFF: Final = 0.2  # seconds, full jitter
-LAST_BACKOFF: Final = 2.0
-RESTORE_SPREAD: Final = 1.0  # seconds over which the nodes spread the writing back of a newer document
+LAST_BACKOFF: Final = 2.0  # seconds
+RESTORE_SPREAD: Final = 1.0  # seconds; random delay at most before a node writes a newer document back
 
 logger = logging.getLogger(__name__)
 
 
 class ConfigurationFollower:
-    """A waiting watch on one key; puts a store that was restored to an older state right again."""
+    """Watches one key, and writes the newer document back if the store was restored to an older state."""
 
     def __init__(self, store: KeyValueService, in_force: ConfigurationInForce, is_chosen: Callable[[], bool]) -> None:
         self._store = store
@@ -33,8 +33,8 @@
         self._is_chosen = is_chosen
 
     async def run(self) -> None:
-        """Follow the key until cancelled; once a configuration is known, only the chosen nodes watch."""
-        version = StoreVersion(-1)  # no version of a key, so the first watch answers at once
+        """Follow the key until cancelled; once a configuration is known, only some nodes watch."""
+        version = StoreVersion(-1)  # differs from any version of a key, so that the first watch returns at once
         backoff = FIRST_BACKOFF
         while True:
             if self._in_force.revision and not self._is_chosen():
@@ -56,7 +56,7 @@
             await self._restore(entry)
 
     async def _restore(self, entry: Entry) -> None:
-        """Write the newer document back; of all nodes that try, the first wins."""
+        """Write the newer document back by compare-and-swap; the first of all nodes that try succeeds."""
         await anyio.sleep(random.uniform(0, RESTORE_SPREAD))
         result = await self._store.write(CONFIGURATION_KEY, self._in_force.data, entry.version)
         logger.warning(
--- a/packages/node/src/vaneturn_node/configuration/inforce.py
+++ b/packages/node/src/vaneturn_node/configuration/inforce.py
@@ -1,4 +1,4 @@
-"""The configuration in force; it only ever moves to a newer revision."""
+"""The configuration in force, which is only ever replaced by a newer revision."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 
 class Offer(Enum):
-    """What became of an offered document."""
+    """The result of offering a document."""
 
     INSTALLED = "installed"
     SAME = "same"
     OLDER = "older"
-    DIFFERENT = "different"  # the same revision with other content: an operator must look
+    DIFFERENT = "different"  # the same revision with other content: an operator must resolve this
     MALFORMED = "malformed"
 
 
 class ConfigurationInForce:
-    """Holds the newest document seen from any source and tells its listeners of each newer one."""
+    """Holds the newest document from any source, and notifies listeners of each newer one."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
@@ -45,7 +45,7 @@
         return self.view.configuration.revision
 
     def find_server(self, vm: VmId) -> Server | None:
-        """Find a server in the configuration that is in force when asked."""
+        """Find a server in the configuration currently in force."""
         return self.view.find_server(vm)
 
     def listen(self, listener: Callable[[Configuration], None]) -> None:
@@ -53,7 +53,7 @@
         self._listeners.append(listener)
 
     def offer(self, data: bytes) -> Offer:
-        """Put a document in force if it is newer than the present one."""
+        """Put a document in force if it is newer than the current one."""
         if data == self.data:
             return Offer.SAME
         configuration = decode_configuration(data)
@@ -63,7 +63,7 @@
         if configuration.revision < self.revision:
             return Offer.OLDER
         if configuration.revision == self.revision:
-            logger.error("two documents with one revision", extra={"revision": self.revision})
+            logger.error("two different documents with the same revision", extra={"revision": self.revision})
             return Offer.DIFFERENT
         self._install(configuration, data)
         return Offer.INSTALLED
--- a/packages/node/src/vaneturn_node/limits/admission.py
+++ b/packages/node/src/vaneturn_node/limits/admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests: by customer, by pipeline, in fair order, and never longer than is of use."""
+"""Admission of requests: limits for each customer and pipeline, and a fair queue with a bounded wait."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 from vaneturn_core.outcomes import NotRun, Reason
 from vaneturn_node.metrics import Metrics
 
-FIRST_GUESS: Final = 2.0  # seconds of an answer, until one was measured
-SECONDS_WEIGHT: Final = 0.05  # of the newest answer in the average
+FIRST_GUESS: Final = 2.0  # seconds; the initial average duration of an answer, before any was measured
+SECONDS_WEIGHT: Final = 0.05  # weight of the newest answer in the moving average of durations
 
 
 @dataclass
 class _Waiting:
-    """A request in the queue of a pipeline."""
+    """A request in the queue for a pipeline."""
 
     granted: anyio.Event = field(default_factory=anyio.Event)
 
 
 @dataclass
 class _Gate:
-    """The answers of one pipeline on this node."""
+    """The admission state of one pipeline on this node."""
 
     in_progress: int = 0
-    seconds: float = FIRST_GUESS  # average of an answer
+    seconds: float = FIRST_GUESS  # moving average of the duration of an answer
     queue: FairQueue[_Waiting] = field(default_factory=FairQueue)
 
 
 class Admission:
-    """Counts what is in progress, and lets the next request in when one ends."""
+    """Counts the requests in progress, and admits the next one when one ends."""
 
     def __init__(
         self, metrics: Metrics, read_bound: Callable[[PipelineName], float], count_nodes: Callable[[], int]
@@ -48,11 +48,11 @@
         self._by_customer: Counter[CustomerName] = Counter()
         self._gates: dict[PipelineName, _Gate] = {}
         self._idle = anyio.Event()
-        self.ready = True  # false first, so that the balancer can turn away before requests are refused
+        self.ready = True  # becomes false before `stopping` is set: load balancers leave before requests are refused
         self.stopping = False
 
     def enter(self, customer: Customer) -> NotRun | None:
-        """Admit a request to this node, or say why not; an admitted one must leave."""
+        """Admit a request to this node, or return why not; call leave() at the end of an admitted request."""
         if self.stopping:
             return NotRun(Reason.STOPPING)
         if self._by_customer[customer.name] >= customer.max_in_progress:
@@ -62,7 +62,7 @@
         return None
 
     def leave(self, customer: Customer) -> None:
-        """Count an admitted request as ended."""
+        """Record the end of an admitted request."""
         self._by_customer[customer.name] -= 1
         if not self._by_customer[customer.name]:
             del self._by_customer[customer.name]
@@ -77,7 +77,10 @@
             await self._idle.wait()
 
     async def enter_pipeline(self, pipeline: Pipeline, customer: Customer, work_class: WorkClass) -> NotRun | None:
-        """Wait for a place in a pipeline, or say at once why it is not worth to wait; a place must be left."""
+        """Wait for a place in a pipeline, or refuse at once if the expected wait is too long.
+
+        Call leave_pipeline() to free the place.
+        """
         gate = self._gates.setdefault(pipeline.name, _Gate())
         limit = self._compute_limit(pipeline)
         if gate.in_progress < limit and not gate.queue:
@@ -102,23 +105,23 @@
         return NotRun(Reason.OVERLOAD, retry_after=expected)
 
     def enter_resumed(self, pipeline: Pipeline) -> None:
-        """Enter a pipeline beyond its limit with an answer that another node had let in."""
+        """Take a place regardless of the limit, for an answer that another node had admitted."""
         self._gates.setdefault(pipeline.name, _Gate()).in_progress += 1
 
     def leave_pipeline(self, pipeline: Pipeline, seconds: float) -> None:
-        """Give a place back.
+        """Free a place.
 
-        :param seconds: that the answer took.
+        :param seconds: duration of the answer.
         """
         gate = self._gates[pipeline.name]
         gate.seconds += SECONDS_WEIGHT * (seconds - gate.seconds)
         self._pass_on(gate, self._compute_limit(pipeline))
 
     def _pass_on(self, gate: _Gate, limit: int) -> None:
-        """Free a place and let in as many as now fit."""
+        """Free a place and admit as many waiting requests as the limit allows."""
         gate.in_progress -= 1
         if gate.in_progress < 0:
-            raise AssertionError("more places left than entered")
+            raise AssertionError("more places freed than taken")
         while gate.queue and gate.in_progress < limit:
             gate.in_progress += 1
             gate.queue.pop().granted.set()
--- a/packages/node/src/vaneturn_node/placing/__init__.py
+++ b/packages/node/src/vaneturn_node/placing/__init__.py
@@ -1,1 +1,1 @@
-"""Ordering engines to hold what the pipelines declare, by one node at a time."""
+"""Orders that make engines hold the declared parts of pipelines, sent by one node at a time."""
--- a/packages/node/src/vaneturn_node/placing/placer.py
+++ b/packages/node/src/vaneturn_node/placing/placer.py
@@ -1,4 +1,4 @@
-"""The rounds of the node that orders engines what to hold."""
+"""The placer: orders engines to hold parts of pipelines, in rounds."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 from vaneturn_node.placing.tenure import Tenure
 from vaneturn_node.stages.pool import LinkPool
 
-ROUND: Final = 0.5  # seconds
-ORDER_TIME: Final = 1.0  # seconds that an order may take to its engine; the holder must be sure for so long
+ROUND: Final = 0.5  # seconds between two rounds
+ORDER_TIME: Final = 1.0  # seconds at most for an order to reach its engine; the tenure must last that much longer
 
 logger = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True)
 class _View:
-    """All that a plan depends on."""
+    """The inputs of a plan."""
 
     revision: Revision
     said: Mapping[VmId, Holdings]
@@ -38,7 +38,7 @@
 
 
 class Placer:
-    """Compares what engines say with what is declared, and orders the difference while it holds the tenure."""
+    """Compares the reported holdings with the declared ones, and orders the difference while it has the tenure."""
 
     def __init__(
         self, tenure: Tenure, in_force: ConfigurationInForce, pool: LinkPool, healths: ServerHealths, metrics: Metrics
@@ -49,10 +49,10 @@
         self._healths = healths
         self._metrics = metrics
         self._stuck: tuple[str, ...] = ()
-        self._settled: _View | None = None  # the view for which there was nothing to order
+        self._settled: _View | None = None  # the last view that needed no orders
 
     async def run(self) -> None:
-        """Order until cancelled; a tenure is looked for only if any engine takes orders."""
+        """Run rounds until cancelled; the tenure is sought only once an engine has reported holdings."""
         await self._pool.wait_holdings()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._tenure.run)
@@ -69,7 +69,7 @@
                 self._tenure.note_fence(holdings.fence)
 
     def _order(self) -> None:
-        """Make one round; no await between the plan and the orders."""
+        """Run one round, without an await between the plan and the orders."""
         unusable = self._pool.list_down() | self._healths.list_leaving()
         view = _View(self._in_force.revision, self._pool.list_holdings(), unusable, self._pool.list_silent())
         if view == self._settled:
@@ -85,7 +85,7 @@
                 self._send(order)
 
     def _may_order(self, server: Server) -> bool:
-        """Tell whether no order of the holder before can reach the server after this one."""
+        """Tell whether no order of the previous holder can reach the server after this one."""
         if not self._tenure.is_sure(ORDER_TIME):
             return False
         return server.checks_fence or read_clock() >= self._tenure.since + ORDER_TIME
--- a/packages/node/src/vaneturn_node/placing/tenure.py
+++ b/packages/node/src/vaneturn_node/placing/tenure.py
@@ -1,8 +1,8 @@
 """The tenure of the one node that orders engines: a record in the key-value service with a fencing number.
 
-The holder writes the record again and again. Others watch it, and one that has seen no new beat for the whole term
-takes over by compare-and-swap with the next fence. The holder counts its term from before each write was sent, the
-others from when they saw it, so no two can be sure of themselves at once.
+The holder renews the record periodically. The other candidates watch it; one that has seen no new beat for a whole term
+takes over by compare-and-swap with the next fence. The holder counts its term from before it sent the write, the others
+from when they saw its effect, so that two nodes are never sure of the tenure at the same time.
 """
 
 from __future__ import annotations
@@ -24,45 +24,45 @@
 TERM: Final = 9.0  # seconds
 BEAT: Final = 3.0  # seconds between two writes of the holder
 RETRY: Final = 0.5  # seconds, full jitter
-IDLE: Final = 1.0  # seconds between looks whether this node is a candidate
-CANDIDATES: Final = 1  # nodes of each data hall that would take over
+IDLE: Final = 1.0  # seconds between checks whether this node is a candidate
+CANDIDATES: Final = 1  # nodes of each data hall that may take over
 
 logger = logging.getLogger(__name__)
 
 
 class TenureRecord(Struct, frozen=True):
-    """What is stored under the key."""
+    """The value stored under TENURE_KEY."""
 
-    fence: int = 0  # grows with each takeover
-    node: NodeId = NodeId("")  # none after a planned stop
+    fence: int = 0  # increases with each takeover
+    node: NodeId = NodeId("")  # empty after a planned stop
     beat: int = 0
 
 
 class Tenure:
-    """Holds the tenure, or waits for its turn."""
+    """Acquires the tenure and renews it while this node holds it."""
 
     def __init__(self, store: KeyValueService, table: MemberTable) -> None:
         self._store = store
         self._table = table
-        self._version = StoreVersion(-1)  # no version of a key, so the first watch answers at once
+        self._version = StoreVersion(-1)  # differs from any version of a key, so that the first watch returns at once
         self._record = TenureRecord()
-        self._seen_at = float("-inf")  # when the newest record was seen first
+        self._seen_at = float("-inf")  # when the newest record was first seen
         self._sure_until = float("-inf")
         self._is_stopping = False
-        self._newest_fence = 0  # of any engine or record, which a takeover must exceed
+        self._newest_fence = 0  # highest fence of any engine or record; a takeover must exceed it
         self.since = float("-inf")  # when this node took over
 
     @property
     def fence(self) -> int:
-        """The fence of orders of this node."""
+        """The fence for orders of this node."""
         return self._record.fence
 
     def is_sure(self, margin: float) -> bool:
-        """Tell whether this node is the only one that may order, for so many seconds more."""
+        """Tell whether this node is sure to be the only holder for the next `margin` seconds."""
         return read_clock() + margin < self._sure_until
 
     def note_fence(self, fence: int) -> None:
-        """Take note of a fence that an engine has seen; one above the own ends the tenure."""
+        """Record a fence that an engine has seen; a fence above this node's own ends its tenure."""
         self._newest_fence = max(self._newest_fence, fence)
         if fence > self._record.fence and self._is_holder():
             logger.warning("an engine has seen a newer fence", extra={"fence": fence, "own": self._record.fence})
@@ -73,7 +73,7 @@
         return self._record.node == self._table.own.node
 
     async def run(self) -> None:
-        """Keep the tenure, or take it over when it lapses, until cancelled."""
+        """Renew the tenure, or take it over when it lapses, until cancelled."""
         while not self._is_stopping:
             if self._is_holder():
                 await self._keep()
@@ -83,7 +83,7 @@
                 await anyio.sleep(IDLE)
 
     async def _keep(self) -> None:
-        """Write the next beat, or learn that another has taken over."""
+        """Write the next beat; if that fails, read whether another node has taken over."""
         record = msgspec.structs.replace(self._record, beat=self._record.beat + 1)
         if await self._write(record):
             await anyio.sleep(BEAT)
@@ -92,10 +92,10 @@
         await self._look(0.0)  # a write whose answer was lost may have taken effect
 
     async def _await_turn(self) -> None:
-        """Watch the record for what is left of the term, and take over if it has not changed."""
+        """Watch the record for the rest of the term, and take over if it has not changed."""
         left = self._seen_at + TERM - read_clock()
         if not self._record.node and self._version >= 0:
-            left = 0.0  # nobody holds it
+            left = 0.0  # no node holds the tenure
         if left > 0 or self._version < 0:
             if not await self._look(max(0.0, min(left, TERM))):
                 await anyio.sleep(random.uniform(0, RETRY))
@@ -109,7 +109,7 @@
         await self._look(0.0)
 
     async def _look(self, wait: float) -> bool:
-        """Watch the record; false when the service gave no answer."""
+        """Watch the record; false if the service gave no answer."""
         entry = await self._store.watch(TENURE_KEY, self._version, wait)
         if isinstance(entry, Unavailable):
             return False
@@ -126,7 +126,7 @@
             self._sure_until = float("-inf")
 
     async def _write(self, record: TenureRecord) -> bool:
-        """Write the record if nobody has changed it; the term counts from before the write was sent."""
+        """Write the record unless it has changed; the term counts from before the write was sent."""
         started = read_clock()
         written = await self._store.write(TENURE_KEY, msgspec.json.encode(record), self._version)
         if not isinstance(written, int):
@@ -138,7 +138,7 @@
         return True
 
     async def give_up(self) -> None:
-        """Leave the tenure at a planned stop, so that the next node need not wait."""
+        """Give up the tenure at a planned stop, so that the next node need not wait for the end of the term."""
         self._is_stopping = True
         if self._is_holder():
             self._sure_until = float("-inf")
