--- a/packages/node/src/vaneturn_node/stages/cachemove.py
+++ b/packages/node/src/vaneturn_node/stages/cachemove.py
@@ -1,4 +1,4 @@
-"""Carrying the KV cache of a session from one engine to another."""
+"""Transfer of a session's KV cache from one engine to another."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from vaneturn_core.routing.recovery import LinkTable
 from vaneturn_node.clock import read_clock
 
-TIMEOUT: Final = 30.0  # seconds
+TIMEOUT: Final = 30.0  # seconds for each of export and import
 
 logger = logging.getLogger(__name__)
 
 
 class CacheMover:
-    """Exports from the old engine and imports into the new one; measures the links on the way."""
+    """Exports a cache from the old engine, imports it into the new one, and measures both transfers."""
 
     def __init__(self, client: httpx.AsyncClient, hall: DataHall) -> None:
         self._client = client
@@ -27,11 +27,11 @@
         self.links = LinkTable()
 
     def follow(self, configuration: Configuration) -> None:
-        """Take the declared links after a change of configuration."""
+        """Update the declared links after a change of configuration."""
         self.links.declare(configuration.links)
 
     async def move(self, session: SessionId, old: Server, new: Server) -> bool:
-        """Move a session's cache; false when either engine would not."""
+        """Move a session's cache; false if the export or the import failed."""
         try:
             started = read_clock()
             exported = await self._client.get(_name_cache(old, session), timeout=TIMEOUT)
--- a/packages/node/src/vaneturn_node/stages/holding.py
+++ b/packages/node/src/vaneturn_node/stages/holding.py
@@ -1,4 +1,4 @@
-"""What one engine holds: its own word, and the order that it has not answered yet."""
+"""The holdings of one engine: its last report, and the order that it has not answered yet."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from vaneturn_core.engine.messages import Hold, Holdings
 from vaneturn_node.clock import read_clock
 
-ANSWER_TIME: Final = 5.0  # seconds in which an engine says what it made of an order
+ANSWER_TIME: Final = 5.0  # seconds for an engine to answer an order with a report of its holdings
 
 
 @dataclass(frozen=True)
@@ -18,11 +18,11 @@
 
     order: Hold
     is_valid: Callable[[], bool]
-    until: float  # by the clock
+    until: float  # time of read_clock() at which the answer is overdue
 
 
 class Holding:
-    """Kept by the link; an order stands for the engine's word until the engine has spoken."""
+    """Tracks reports and orders of a link; a pending order counts as executed until the engine reports."""
 
     def __init__(self) -> None:
         self._said: Holdings | None = None
@@ -32,17 +32,17 @@
 
     @property
     def is_ordered(self) -> bool:
-        """Whether the engine has yet to say what it made of an order."""
+        """Whether the engine still has time to answer an order."""
         return self._ordered is not None and read_clock() < self._ordered.until
 
     @property
     def is_silent(self) -> bool:
-        """Whether the engine has not answered an order in time, and has said nothing since."""
+        """Whether the engine has not answered an order in time, and has not reported since."""
         return self._has_missed or (self._ordered is not None and not self.is_ordered)
 
     @property
     def holdings(self) -> Holdings | None:
-        """What the engine holds, as if it had taken the order that it has not answered; none if it never said."""
+        """The engine's holdings, as if it had accepted a pending order; None if it never reported any."""
         said, ordered = self._said, self._ordered
         if said is None or ordered is None or not self.is_ordered:
             return said
@@ -52,19 +52,19 @@
         return Holdings(said.fence, held, loading, said.ending)
 
     def note(self, said: Holdings) -> None:
-        """Take the engine's word, which answers any order."""
+        """Record a report of the engine, which answers any pending order."""
         self._said = said
         self._ordered = None
         self._has_missed = False
 
     def order(self, order: Hold, is_valid: Callable[[], bool]) -> None:
-        """Make an order due; a newer one takes its place."""
+        """Make an order due; it replaces an earlier one."""
         self._has_missed = self.is_silent
         self._ordered = _Ordered(order, is_valid, read_clock() + ANSWER_TIME)
         self._is_due = True
 
     def take_due_order(self) -> list[Hold]:
-        """Take the order that is to be written now, unless its sender may not order any more."""
+        """Return the order to be written now, if any; an order that is no longer valid is dropped."""
         if not self._is_due or self._ordered is None:
             return []
         self._is_due = False
@@ -74,7 +74,7 @@
         return []
 
     def forget_order(self) -> None:
-        """Forget an order that was lost with its connection."""
+        """Forget the order that was lost with its connection."""
         self._ordered = None
         self._is_due = False
         self._has_missed = False
--- a/packages/node/src/vaneturn_node/stages/link.py
+++ b/packages/node/src/vaneturn_node/stages/link.py
@@ -1,4 +1,4 @@
-"""One multiplexed WebSocket to one model engine, shared by all answers of this node."""
+"""A multiplexed WebSocket to one model engine, shared by all answers of this node."""
 
 from __future__ import annotations
 
@@ -37,16 +37,16 @@
 CONNECT_TIMEOUT: Final = 1.0  # seconds
 FIRST_BACKOFF: Final = 0.05  # seconds between attempts to connect, doubled up to the last, with jitter
 LAST_BACKOFF: Final = 2.0  # seconds, while few links are down
-DOWN_SHARE: Final = 0.25  # seconds of backoff for each link that is down, so that a lost data hall costs no more
-PING_INTERVAL: Final = 20.0  # seconds; a dead server in use is noticed by its steps, this finds idle ones
-PING_TIMEOUT: Final = 5.0
+DOWN_SHARE: Final = 0.25  # seconds of backoff for each link that is down: bounds the retries after loss of a data hall
+PING_INTERVAL: Final = 20.0  # seconds; detects dead idle servers, as a dead server in use is detected by its steps
+PING_TIMEOUT: Final = 5.0  # seconds
 MAX_FRAME: Final = 64 << 20  # bytes
 
 logger = logging.getLogger(__name__)
 
 
 class StageLink:
-    """Sends orders in batches and hands each reply to the step that awaits it."""
+    """Sends orders in batches and dispatches each reply to the step that awaits it."""
 
     def __init__(
         self,
@@ -56,10 +56,10 @@
         count_down: Callable[[], int],
         on_holdings: Callable[[], None],
     ) -> None:
-        """Make a link that is not connected yet.
+        """Create a link that is not connected yet.
 
         :param count_down: counts the links of this node that are down.
-        :param on_holdings: called when the engine says that it holds something else.
+        :param on_holdings: called when the engine reports its holdings.
         """
         self.server = server
         self._count_down = count_down
@@ -76,7 +76,7 @@
     def order(self, order: Hold, is_valid: Callable[[], bool]) -> None:
         """Order the engine to hold parts.
 
-        :param is_valid: asked once more right before the order is written.
+        :param is_valid: checked again right before the order is written.
         """
         if not self.is_connected:
             return
@@ -102,7 +102,7 @@
     async def run_step(self, step: Step, hop: Hop, timeout: float) -> StepResult:  # noqa: ASYNC109 # an outcome, not an error
         """Run a step and wait for its reply.
 
-        :param hop: the layers that the reply must name.
+        :param hop: the hop whose layers the reply must state.
         """
         await self.window.enter()
         try:
@@ -161,7 +161,8 @@
     async def _use(self, connection: ClientConnection) -> None:
         self._outgoing.clear()
         self.holding.forget_order()
-        self._healths.unmark_leaving(self.server.vm, LeavingSource.SERVER)  # a leaving server says so again at once
+        # A server that is still leaving announces it again right after the connection.
+        self._healths.unmark_leaving(self.server.vm, LeavingSource.SERVER)
         self._connected.set()
         try:
             async with anyio.create_task_group() as tasks:
@@ -184,17 +185,17 @@
             try:
                 await connection.send(ENCODER.encode(batch))
             except WebSocketException:
-                return  # the reader sees the same end
+                return  # the reader ends with the same closed connection
 
     async def _read(self, connection: ClientConnection) -> None:
         async for frame in connection:
             data = frame if isinstance(frame, bytes) else frame.encode()
             for reply in REPLY_DECODER.decode(data):
                 if not self._take(reply):
-                    return  # this link can no longer be trusted
+                    return  # protocol error: close the connection
 
     def _take(self, reply: Reply) -> bool:
-        """Hand a reply to its step; false when the server broke the protocol."""
+        """Dispatch a reply to its step; false if the server violated the protocol."""
         if isinstance(reply, Leaving):
             self._healths.mark_leaving(self.server.vm, LeavingSource.SERVER)
             return True
@@ -211,7 +212,7 @@
             return True
         if isinstance(reply, Done) and not matches(reply, awaited):
             self._metrics.dropped.labels("mismatch").inc()
-            logger.error("reply names other work than its step", extra={"server": self.server.vm})
+            logger.error("reply does not match the work of its step", extra={"server": self.server.vm})
             return False
         awaited.result = reply
         awaited.done.set()
--- a/packages/node/src/vaneturn_node/stages/pool.py
+++ b/packages/node/src/vaneturn_node/stages/pool.py
@@ -1,4 +1,4 @@
-"""The links of a node, one task each, kept in step with the configuration."""
+"""The links of a node, each run by its own task, updated with the configuration."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LinkPool:
-    """Starts a link for each server that a pipeline names and stops those no longer named."""
+    """Starts a link for each server in a stage of a pipeline, and stops links to other servers."""
 
     def __init__(self, tasks: TaskGroup, healths: ServerHealths, metrics: Metrics) -> None:
         self._tasks = tasks
@@ -28,11 +28,11 @@
         self._has_holdings = anyio.Event()
 
     def on_holdings(self, listener: Callable[[], None]) -> None:
-        """Call the listener when an engine says that it holds something else."""
+        """Call the listener when an engine reports its holdings."""
         self._listeners.append(listener)
 
     def list_holdings(self) -> Mapping[VmId, Holdings]:
-        """List what the engines that take orders said last."""
+        """List the holdings of the engines that have reported them."""
         known = ((vm, link.holding.holdings) for vm, link in self._links.items())
         return {vm: holdings for vm, holdings in known if holdings is not None}
 
@@ -66,7 +66,7 @@
         self._tasks.start_soon(_run_in, scope, link)
 
     async def wait_holdings(self) -> None:
-        """Wait until any engine has said what it holds, and thus takes orders."""
+        """Wait until an engine has reported its holdings, which shows that it accepts orders."""
         await self._has_holdings.wait()
 
     def _notify(self) -> None:
--- a/packages/node/src/vaneturn_node/stages/steps.py
+++ b/packages/node/src/vaneturn_node/stages/steps.py
@@ -1,4 +1,4 @@
-"""Steps whose replies are awaited on a link, and how each of them ended."""
+"""Steps whose replies are awaited on a link, and their results."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from vaneturn_core.identifiers import SessionId
 from vaneturn_core.routing.hops import Hop
 
-StepKey = tuple[SessionId, int, int, bool]
+StepKey = tuple[SessionId, int, int, bool]  # session, attempt, position, whether it is part of a rebuild
 
 
 @dataclass(frozen=True)
@@ -34,12 +34,12 @@
 
 
 def name_step(step: Step) -> StepKey:
-    """Name a step as its reply does."""
+    """Compute the key of a step, which its reply states as well."""
     return (step.session, step.attempt, step.position, step.rebuild)
 
 
 def matches(reply: Done, awaited: AwaitedStep) -> bool:
-    """Tell whether a reply is about the work that was asked for."""
+    """Tell whether a reply states the positions and layers of the step."""
     step, hop = awaited.step, awaited.hop
     return reply.count == step.count and reply.first == hop.first and reply.end == hop.end
 
--- a/packages/node/src/vaneturn_node/stages/window.py
+++ b/packages/node/src/vaneturn_node/stages/window.py
@@ -1,4 +1,4 @@
-"""The steps that a node has at one server at a time."""
+"""The window of steps that a node has in flight at one server."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 import anyio
 
-SLACK: Final = 1.5  # steps beyond what keeps the server busy on average: replies do not come evenly
+SLACK: Final = 1.5  # factor over the window that keeps the server busy on average, since replies arrive unevenly
 
 
 class StepWindow:
-    """Lets through as many steps as keep the server busy while the other hops of the answers are busy too.
+    """Limits the steps in flight to as many as keep the server busy while the other hops are busy too.
 
-    An engine runs what has arrived as one batch. Without a window the answers of a node gather into one batch that
-    goes from stage to stage while the other stages idle. An answer over n hops is expected to be at each of them an
-    nth of its time; the window is the sum of these shares.
+    An engine runs all steps that have arrived as one batch. Without a window all answers of a node would end up in one
+    batch that moves from stage to stage while the other stages idle. An answer over n hops is expected to spend 1/n of
+    its time at each of them; the window is the sum of these shares, times SLACK.
     """
 
     def __init__(self) -> None:
@@ -26,16 +26,16 @@
 
     @property
     def size(self) -> int:
-        """How many steps may be in flight."""
+        """The maximum number of steps in flight."""
         return max(1, math.ceil(self._expected * SLACK - 1e-9))
 
     def add(self, share: float) -> None:
-        """Expect an answer for a share of its time; a negative share takes it back."""
+        """Add the share of its time that an answer is expected to spend here; a negative share removes it."""
         self._expected = max(0.0, self._expected + share)
         self._let_through()
 
     async def enter(self) -> None:
-        """Wait for a place; a place must be left."""
+        """Wait for a place; call leave() to free it."""
         if self._in_flight < self.size and not self._waiting:
             self._in_flight += 1
             return
@@ -51,7 +51,7 @@
             raise
 
     def leave(self) -> None:
-        """Give a place back."""
+        """Free a place."""
         self._in_flight -= 1
         self._let_through()
 
