--- a/packages/node/src/vaneturn_node/answers/generation.py
+++ b/packages/node/src/vaneturn_node/answers/generation.py
@@ -1,4 +1,4 @@
-"""Generation of one answer, token by token, through the loss of any of its stages."""
+"""Generation of one answer, token by token, with recovery from the loss of any of its stages."""
 
 from __future__ import annotations
 
@@ -24,28 +24,28 @@
 from vaneturn_node.metrics import Metrics
 from vaneturn_node.stages.steps import Lost
 
-CHUNK: Final = 256  # positions of a prompt in one step
-ROUTE_RETRY: Final = 0.1  # seconds between looks for a route while an answer in progress has none
-FIRST_ROUTE_WAIT: Final = 2.0  # seconds that a request without any route waits before it is refused
-LOST_AVOIDANCE: Final = 30.0  # seconds that an answer keeps away from a server that did not reply
-REFUSED_AVOIDANCE: Final = 1.0  # seconds that it keeps away from one that refused
+CHUNK: Final = 256  # maximum positions of a prompt in one step
+ROUTE_RETRY: Final = 0.1  # seconds between two searches for a route while an answer has none
+FIRST_ROUTE_WAIT: Final = 2.0  # seconds that a new request waits for a route before it is refused
+LOST_AVOIDANCE: Final = 30.0  # seconds that an answer avoids a server that did not reply
+REFUSED_AVOIDANCE: Final = 1.0  # seconds that an answer avoids a server that refused a step
 
 logger = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True)
 class GenerationState:
-    """An answer in progress as operators see it."""
+    """An answer in progress, as shown to operators."""
 
     request: RequestId
     customer: CustomerName
     pipeline: PipelineName
-    routes: tuple[str, ...]  # the newest last
+    routes: tuple[str, ...]  # newest last
     recoveries: int
 
 
 class Generation:
-    """The state of one answer: its tokens, its route and how far each stage holds it."""
+    """Generates one answer; holds its tokens, its route and the positions in the caches of the stages."""
 
     def __init__(
         self, request: AnswerRequest, run: StageRun, placement: Placement, mover: Mover, metrics: Metrics
@@ -57,22 +57,22 @@
         self._metrics = metrics
         self._tokens = bytearray(request.prompt)
         self._held = 0  # positions that ran through every layer
-        self._lacking: set[Hop] = set()  # hops of the route whose cache lacks held positions
+        self._lacking: set[Hop] = set()  # hops of the route whose cache lacks the held positions
         self._route: Route | None = None
-        self._broken: tuple[Route, int] | None = None  # while no route is known: the last one, and its failed hop
+        self._broken: tuple[Route, int] | None = None  # the last route and its failed hop, while there is no route
         self._start_until = read_clock() + FIRST_ROUTE_WAIT
-        self._avoided: dict[VmId, float] = {}  # until when, by the clock
+        self._avoided: dict[VmId, float] = {}  # server -> time of read_clock() until which it is avoided
         self._lost_at: float | None = None
         self._method = Method.REBUILD
         self._looked_at = read_clock()
-        self.routes: list[str] = []  # every route taken, for the operators
+        self.routes: list[str] = []  # every route so far, for operators
         self.recoveries = 0
         self._produced = 0
         if request.resumed is not None:
             self._go_on_from(request.resumed)
 
     def _go_on_from(self, point: ResumePoint) -> None:
-        """Take the answer where another node left it; a stage that lost it says so and is built again."""
+        """Resume an answer of another node; a stage that lost its cache refuses the next step and is rebuilt."""
         self._tokens += point.tokens
         self._produced = count_generated(point)
         self._held = count_tokens(self._tokens) - 1
@@ -82,7 +82,7 @@
         self._lacking.clear()
 
     def describe_point(self, *, is_finished: bool) -> ResumePoint:
-        """Describe the answer so that another node can go on with it."""
+        """Describe the answer so that another node can resume it."""
         request = self._request
         hops = self._route.hops if self._route else ()
         return ResumePoint(
@@ -99,12 +99,12 @@
         )
 
     def describe(self) -> GenerationState:
-        """Describe the answer for the operators."""
+        """Describe the answer for operators."""
         request = self._request
         return GenerationState(request.id, request.customer, request.pipeline.name, tuple(self.routes), self.recoveries)
 
     async def run(self) -> AsyncGenerator[Yield, None]:
-        """Yield each token once and in order, or one outcome that says why there are no more."""
+        """Yield each token once and in order; after a failure yield the outcome last."""
         try:
             while self._produced < self._request.max_tokens:
                 result = await self._advance()
@@ -128,7 +128,7 @@
         return Piece(position, reply.token, reply.text, last=reply.last or self._produced == self._request.max_tokens)
 
     async def _advance(self) -> Done | NotRun | Unknown:
-        """Run all tokens that no stage holds yet; the last reply carries the next token."""
+        """Run all positions that are not held yet; the last reply contains the next token."""
         while True:
             if read_clock() >= self._request.deadline:
                 return self._give_up(Reason.DEADLINE)
@@ -144,7 +144,7 @@
             self._replace(result)
 
     async def _find_route(self) -> bool:
-        """Wait for a route: briefly before the first step, to the deadline once the answer is in progress."""
+        """Wait for a route: for FIRST_ROUTE_WAIT before the first step, until the deadline afterwards."""
         until = self._request.deadline if self._run.may_have_run else self._start_until
         while read_clock() < until:
             if self._route is not None:
@@ -158,9 +158,9 @@
         return False
 
     def _choose_route(self) -> Route | None:
-        """Choose a route: the broken one with another server for its failed hop, or else a wholly new one.
+        """Choose a route: the broken one with its failed hop replaced, or else an entirely new one.
 
-        The other hops of the broken one may run on servers that take no new session of this version.
+        The other hops of the broken route are kept as their servers may accept no new session of this version.
         """
         request, avoided = self._request, self._list_avoided()
         if self._broken is not None:
@@ -169,9 +169,9 @@
         return self._placement.choose(request.pipeline, request.affinity, avoided)
 
     def _settle_version(self) -> None:
-        """Take the version that serves now; the answer keeps that of its first token to its end.
+        """Choose the version to serve; called only before the first token, after which the version is fixed.
 
-        Before it the version may go from servers that the answer has not come to yet; what ran on others is left.
+        Until then servers that the answer has not reached yet may drop the version; steps that ran are abandoned.
         """
         pipeline = self._placement.choose_version(self._request.pipeline, self._request.affinity)
         if pipeline.version != self._request.pipeline.version:
@@ -180,7 +180,7 @@
         self._request = self._run.request = replace(self._request, pipeline=pipeline)
 
     async def _move_if_better(self) -> None:
-        """Leave a server that is going away or has become slow; the answer goes on where it is if none is better."""
+        """Move away from a server that is leaving or has become slow; keep the route if no other is better."""
         route = self._route
         if route is None or self._lacking or read_clock() < self._looked_at + CHECK_INTERVAL:
             return
@@ -210,13 +210,13 @@
             if not isinstance(result, Done):
                 return result
             if result.position != self._held:
-                raise AssertionError(f"position {result.position} ran where {self._held} is next")
+                raise AssertionError(f"position {result.position} ran instead of {self._held}")
             self._held += result.count
             if self._held == count_tokens(self._tokens):
                 return result
 
     async def _rebuild(self) -> HopFailure | None:
-        """Run the held positions again on the leading hops, up to the last one that lacks them."""
+        """Rerun the held positions on the leading hops, up to the last hop that lacks them."""
         if self._route is None or not self._lacking:
             return None
         last = max(index for index, hop in enumerate(self._route.hops) if hop in self._lacking)
@@ -239,7 +239,7 @@
         return await self._run.run_hops(hops, step)
 
     def _replace(self, failure: HopFailure) -> None:
-        """Take another server for the failed hop, or the same one where only its cache was lost."""
+        """Replace the server of the failed hop; keep it if only its cache was lost."""
         route = self._route
         if route is None:
             raise AssertionError("no route to replace")
@@ -261,7 +261,7 @@
         self._take_route(self._choose_route())
 
     def _take_route(self, route: Route | None) -> None:
-        """Go on over another route; hops that the present one does not have lack all held positions."""
+        """Switch to another route; its hops that are not in the current route lack all held positions."""
         held = set(self._route.hops) - self._lacking if self._route else set()
         self._route = route
         self._run.follow(route)
@@ -286,7 +286,7 @@
 
 
 def _is_superseded(cause: Refused | Lost) -> bool:
-    """Tell whether another node has resumed the answer: only it can have opened a newer attempt."""
+    """Tell whether another node has resumed the answer: no other can have opened a newer attempt."""
     return isinstance(cause, Refused) and cause.refusal is Refusal.ATTEMPT
 
 
--- a/packages/node/src/vaneturn_node/answers/moving.py
+++ b/packages/node/src/vaneturn_node/answers/moving.py
@@ -1,4 +1,4 @@
-"""Moving a hop of an answer in progress away from a server that leaves or has become slow."""
+"""Moving a hop of an answer in progress away from a server that is leaving or has become slow."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from vaneturn_node.clock import read_clock
 from vaneturn_node.stages.cachemove import CacheMover
 
-CHECK_INTERVAL: Final = 0.25  # seconds between looks at the hops of one answer
-SLOW_RATIO: Final = 5.0  # a hop so many times slower than it was at best is moved
-SLOW_FLOOR: Final = 0.03  # seconds; below it a step is never called slow
-GAIN: Final = 3.0  # the new server must be expected to be so many times faster
-GUESSED_PREFILL_RATIO: Final = 10.0  # of the rate of prompts to that of tokens, until it was measured
+CHECK_INTERVAL: Final = 0.25  # seconds between two checks of the hops of one answer
+SLOW_RATIO: Final = 5.0  # a hop is moved if its latency exceeds its best latency by this factor
+SLOW_FLOOR: Final = 0.03  # seconds; a step with a lower latency never counts as slow
+GAIN: Final = 3.0  # factor by which the new server must be expected to be faster
+GUESSED_PREFILL_RATIO: Final = 10.0  # rate of prompt positions to rate of generated tokens, until it is measured
 
 logger = logging.getLogger(__name__)
 
 
 class Cause(Enum):
-    """Why a hop should move."""
+    """The reason for moving a hop."""
 
     LEAVING = "leaving"
     SLOW = "slow"
@@ -62,7 +62,7 @@
         return None
 
     def is_worth_it(self, suggestion: Suggestion, old: Route, new: Route) -> bool:
-        """Tell whether the new route is better; away from a leaving server always."""
+        """Tell whether the new route is enough of a gain; it always is if a server is leaving."""
         if suggestion.cause is Cause.LEAVING:
             return True
         slow = self._healths.estimate_latency(old.hops[suggestion.index].vm)
@@ -70,9 +70,9 @@
         return GAIN * sum(self._healths.estimate_latency(hop.vm) for hop in added) < slow
 
     async def move_cache(self, request: AnswerRequest, old: Route, new: Route, index: int, positions: int) -> Method:
-        """Bring the cache of the old hop to the new one if that is expected to be faster than a rebuild.
+        """Transfer the cache of the old hop to the new one if that is expected to be faster than a rebuild.
 
-        :return: the method that was used; after a rebuild the new hop still lacks the positions.
+        :return: the method to use; with Method.REBUILD the new hop still lacks the positions.
         """
         added = [hop for hop in new.hops if hop not in old.hops]
         lost = old.hops[index]
--- a/packages/node/src/vaneturn_node/answers/placement.py
+++ b/packages/node/src/vaneturn_node/answers/placement.py
@@ -1,4 +1,4 @@
-"""Choice of routes for answers from what the node knows now."""
+"""Choice of routes for answers from the current state of configuration, servers and links."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from vaneturn_node.metrics import Metrics
 from vaneturn_node.stages.pool import LinkPool
 
-REFRESH: Final = 0.2  # seconds at least between two computations for what engines hold
+REFRESH: Final = 0.2  # minimum seconds between two computations due to changed holdings of engines
 
 
 class Placement:
-    """Holds the flow of each pipeline and chooses routes by it."""
+    """Holds the flow of each pipeline and chooses routes from it."""
 
     def __init__(self, healths: ServerHealths, pool: LinkPool, metrics: Metrics) -> None:
         self._healths = healths
@@ -35,7 +35,7 @@
         self._computed_at = float("-inf")
 
     def follow(self, configuration: Configuration) -> None:
-        """Compute the flows anew after a change of configuration."""
+        """Recompute the flows after a change of configuration."""
         self._configuration = configuration
         self._compute_flows()
 
@@ -50,9 +50,9 @@
     def replace(
         self, pipeline: Pipeline, route: Route, index: int, affinity: str, avoided: Collection[VmId]
     ) -> Route | None:
-        """Choose a route that keeps all hops but one, or else a wholly new one.
+        """Choose a route that keeps all hops but one, or else an entirely new one.
 
-        :param avoided: the server of the replaced hop too, unless it may be used again.
+        :param avoided: must include the server of the replaced hop, unless it may be used again.
         """
         lost = route.hops[index]
         flow = self._find_flow(pipeline)
@@ -68,7 +68,7 @@
         return self.choose(pipeline, affinity, avoided)
 
     def choose_version(self, pipeline: Pipeline, affinity: str) -> Pipeline:
-        """Choose the version that a new answer gets: the declared one, or the one before while that is rolled out."""
+        """Choose the version for a new answer: the declared one, or possibly the previous one during a rollout."""
         newest = next((known for known in self._configuration.pipelines if known.name == pipeline.name), pipeline)
         versions = {version.version: version for version in list_versions(newest)}
         if len(versions) == 1:
@@ -77,11 +77,11 @@
         return versions[choose_version(affinity, newest.version, bounds)]
 
     def read_bound(self, name: PipelineName) -> float:
-        """Read the throughput bound of a pipeline in tokens a second; 0 when it has none."""
+        """Read the throughput bound of a pipeline in tokens per second; 0 if it has none."""
         return self.list_bounds().get(name, 0.0)
 
     def list_bounds(self) -> Mapping[PipelineName, float]:
-        """List the throughput bound of each pipeline in tokens a second, the greatest of its versions."""
+        """List the throughput bound of each pipeline in tokens per second, which is the highest of its versions."""
         self._refresh()
         bounds: dict[PipelineName, float] = {}
         for (name, _), (_, flow) in self._flows.items():
@@ -92,7 +92,7 @@
         self._is_stale = True
 
     def _refresh(self) -> None:
-        """Compute the flows anew if engines hold something else; not for each one of a burst of changes."""
+        """Recompute the flows if holdings of engines changed; a burst of changes is handled at once."""
         if self._is_stale and read_clock() >= self._computed_at + REFRESH:
             self._compute_flows()
 
@@ -127,7 +127,7 @@
 
 
 def _restrict(flow: Flow, first: int, end: int) -> Flow:
-    """Keep the hops inside [first, end), with layers counted from first."""
+    """Restrict a flow to hops within [first, end), with layers renumbered from 0."""
     inside = {
         boundary - first: {
             Hop(hop.vm, hop.first - first, hop.end - first, hop.rate): weight
--- a/packages/node/src/vaneturn_node/answers/request.py
+++ b/packages/node/src/vaneturn_node/answers/request.py
@@ -1,4 +1,4 @@
-"""One request for an answer, and what its generation yields."""
+"""A request for an answer, and the items that its generation yields."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 @dataclass(frozen=True)
 class AnswerRequest:
-    """A request for an answer, admitted and checked."""
+    """An admitted and validated request for an answer."""
 
     id: RequestId
     session: SessionId
     customer: CustomerName
     work_class: ClassName
     priority: int
-    pipeline: Pipeline  # with the version of the answer, which is settled with its first route
+    pipeline: Pipeline  # with the version of the answer, which is fixed at its first token
     prompt: bytes  # tokens
     seed: int
     max_tokens: int
     affinity: str
-    deadline: float  # by the clock, seconds
+    deadline: float  # time of read_clock()
     resumed: ResumePoint | None = None
 
 
@@ -32,7 +32,7 @@
 class Piece:
     """One generated token."""
 
-    position: int  # of the token in prompt and answer
+    position: int  # index of the token in prompt and answer
     token: int
     text: str
     last: bool
--- a/packages/node/src/vaneturn_node/answers/resume.py
+++ b/packages/node/src/vaneturn_node/answers/resume.py
@@ -1,8 +1,8 @@
-"""Resuming a streamed answer at any node after the connection or its node was lost.
+"""Resuming a streamed answer at any node after the loss of the connection or of its node.
 
-Each event carries the answer's state as its id: sealed, and small, since activations and caches are not part of it.
-A caller that reconnects sends its body again with the newest id. Any node goes on from there: where the stages still
-hold the session they are used as they are, and where not, their caches are built again from the tokens.
+The id of each event is the sealed state of the answer. It is small, as activations and caches are not part of it. A
+caller that reconnects repeats its request body with the newest id, and any node can resume the answer: stages that
+still hold the session are used as they are, and the caches of the others are rebuilt from the tokens.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from vaneturn_core.routing.hops import Hop, Route
 from vaneturn_node.peers.seal import Sealer
 
-MAX_RESUMABLE: Final = 4096  # generated tokens; the id of a longer answer is its position only
-ATTEMPTS_OF_A_RESUME: Final = 1 << 16  # attempts after a resume are above all that the lost node may have used
+MAX_RESUMABLE: Final = 4096  # generated tokens; event ids of a longer answer contain only its position
+ATTEMPTS_OF_A_RESUME: Final = 1 << 16  # attempts reserved for each resume: new ones exceed any that the lost node used
 
 
 class ResumePoint(Struct, frozen=True, array_like=True):
-    """All that another node needs to go on with an answer, besides the body of the request."""
+    """The state that another node needs to resume an answer, besides the body of the request."""
 
     customer: CustomerName
     pipeline: PipelineName
@@ -34,31 +34,31 @@
     session: SessionId
     prompt_digest: int
     seed: int
-    resumes: int  # how often the answer was resumed before
+    resumes: int  # number of earlier resumes of the answer
     tokens: bytes  # generated so far
-    hops: list[tuple[VmId, int, int]]  # of the newest route: server, first and end layer
-    is_finished: bool  # the last token was the answer's last one
+    hops: list[tuple[VmId, int, int]]  # newest route: server, first and end layer of each hop
+    is_finished: bool  # whether the answer is complete
 
     def make_route(self, layers: int) -> Route | None:
-        """Make the route that the answer was on; none if the pipeline was cut otherwise since."""
+        """Create the last route of the answer; None if the pipeline's layers have changed since."""
         if not self.hops or self.hops[-1][2] != layers:
             return None
         return Route(layers, tuple(Hop(vm, first, end) for vm, first, end in self.hops))
 
     @property
     def first_attempt(self) -> int:
-        """The first attempt of the node that resumes."""
+        """The first attempt of the node that resumes the answer."""
         return (self.resumes + 1) * ATTEMPTS_OF_A_RESUME
 
 
 def digest_prompt(prompt: bytes) -> int:
-    """Name a prompt, so that a resumed request is seen to be the same one."""
+    """Compute the digest of a prompt, by which a resumed request is recognised as the same one."""
     return xxhash.xxh3_64_intdigest(prompt)
 
 
 @dataclass(frozen=True)
 class ResumeCodec:
-    """Makes event ids of resume points and reads them again."""
+    """Encodes resume points as event ids and decodes them."""
 
     sealer: Sealer
 
@@ -68,7 +68,7 @@
         return base64.urlsafe_b64encode(sealed).decode()
 
     def decode(self, text: str) -> ResumePoint | None:
-        """Decode an event id; none when it is not one of ours."""
+        """Decode an event id; None if it is malformed or was not sealed with this installation's key."""
         try:
             payload = self.sealer.open(base64.urlsafe_b64decode(text))
             return None if payload is None else msgspec.msgpack.decode(payload, type=ResumePoint)
@@ -77,7 +77,7 @@
 
 
 def count_generated(point: ResumePoint) -> int:
-    """Count the tokens that the caller has."""
+    """Count the generated tokens up to the resume point."""
     return len(point.tokens) // TOKEN_BYTES
 
 
--- a/packages/node/src/vaneturn_node/answers/stagerun.py
+++ b/packages/node/src/vaneturn_node/answers/stagerun.py
@@ -1,4 +1,4 @@
-"""Running steps of one session over the hops of its route."""
+"""Execution of the steps of one session over the hops of its route."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True)
 class HopFailure:
-    """The hop of a route that did not run its step."""
+    """A hop that did not run its step, and why."""
 
     index: int
     cause: Refused | Lost
 
 
 class StageRun:
-    """Sends the steps of one session; an attempt is never used again once a hop has been replaced."""
+    """Sends the steps of one session; an attempt is never reused after a hop has been replaced."""
 
     def __init__(self, request: AnswerRequest, pool: LinkPool, healths: ServerHealths, call_timeout: float) -> None:
         self.request = request
@@ -40,7 +40,7 @@
         self.may_have_run = False
 
     async def run_hops(self, hops: Sequence[Hop], step: Step) -> Done | HopFailure:
-        """Run one step on each hop in order, each on the outputs of the one before."""
+        """Run one step on each hop in order, with the outputs of each hop as the inputs of the next."""
         inputs = step.inputs
         reply: Done | None = None
         ran: list[Hop] = []
@@ -86,7 +86,7 @@
         )
 
     def follow(self, route: Route | None) -> None:
-        """Tell the links of a route how much of the answer's time to expect, and those of the route before no more."""
+        """Move the answer's shares of step windows from the links of the previous route to those of a new one."""
         for expected_link, share in self._expected:
             expected_link.window.add(-share)
         hops = route.hops if route else ()
@@ -96,11 +96,11 @@
             expected_link.window.add(share)
 
     def leave_to_successor(self) -> None:
-        """Keep the caches: another node goes on with the session."""
+        """Keep the caches when closing, as another node has resumed the session."""
         self._used.clear()
 
     def close(self) -> None:
-        """Let every server that was used forget the session."""
+        """Close the session at every server that was used."""
         self.follow(None)
         for vm in self._used:
             self.forget(vm)
@@ -108,7 +108,7 @@
         self._opened.clear()
 
     def forget(self, vm: VmId) -> None:
-        """Let one server forget the session."""
+        """Close the session at one server."""
         link = self._pool[vm]
         if link is not None:
             link.send(Close(self.request.session))
