--- a/tests/node/test_holding.py
+++ b/tests/node/test_holding.py
@@ -1,4 +1,4 @@
-"""An engine that has not answered an order in time is silent until it says something."""
+"""An engine that has not answered an order in time counts as unresponsive until it reports its holdings."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
     assert not holding.is_silent
 
 
-@pytest.mark.parametrize("end", [lambda holding: holding.note(WORD), Holding.forget_order], ids=["word", "link"])
+@pytest.mark.parametrize("end", [lambda holding: holding.note(WORD), Holding.forget_order], ids=["report", "link"])
 def test_word_or_a_new_link_ends_it(clock: list[float], end: object) -> None:
     holding = Holding()
     order(holding)
--- a/tests/node/test_inforce.py
+++ b/tests/node/test_inforce.py
@@ -1,4 +1,4 @@
-"""The configuration in force never goes back, whatever is offered in whatever order."""
+"""The configuration in force never reverts to an older revision, whatever documents are offered in any order."""
 
 from __future__ import annotations
 
--- a/tests/node/test_link.py
+++ b/tests/node/test_link.py
@@ -1,4 +1,4 @@
-"""A stage link hands each reply to the step that it names, and to no other."""
+"""A stage link dispatches each reply to the step that it states, and to no other."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 async def run_two_steps(replies: list[Done]) -> dict[SessionId, StepResult]:
-    """Run a step of each of two sessions at an engine that sends these replies once it has both."""
+    """Run one step for each of two sessions at an engine that sends the replies once it has received both."""
     port = find_port()
     results: dict[SessionId, StepResult] = {}
 
@@ -64,8 +64,8 @@
     [
         pytest.param(make_done(SECOND, 5, b"of first"), id="crossed"),
         pytest.param(make_done(SECOND, 8, b"of second, before"), id="late"),
-        pytest.param(make_done(SessionId("third"), 5, b"of third"), id="of nobody"),
-        pytest.param(RIGHT[0], id="doubled"),
+        pytest.param(make_done(SessionId("third"), 5, b"of third"), id="unknown session"),
+        pytest.param(RIGHT[0], id="duplicated"),
     ],
 )
 def test_stray_reply_reaches_no_step(stray: Done) -> None:
@@ -79,7 +79,7 @@
 
 
 async def lose_one_connection(steps: int) -> ServerHealths:
-    """Run steps at once over a connection that ends under all of them."""
+    """Run steps concurrently over a connection that is closed while all of them are in flight."""
     port = find_port()
     healths = ServerHealths()
     for number in range(4):
--- a/tests/node/test_ownership.py
+++ b/tests/node/test_ownership.py
@@ -1,3 +1,5 @@
+"""Slots change owners at a stop, a start or a late answer without the loss of a claim."""
+
 from __future__ import annotations
 
 import time
@@ -24,14 +26,14 @@
 
 
 class FakeStore:
-    """One key; a write is answered only after every waiting watch, as can happen on a network."""
+    """A store with one key that answers a write only after all pending watches, as can happen on a network."""
 
     def __init__(self) -> None:
         self.value = b""
         self.version = StoreVersion(0)
         self.changed = anyio.Event()
         self.is_silent = False
-        self.held_answers: list[anyio.Event] = []  # of watches that were taken and are answered late
+        self.held_answers: list[anyio.Event] = []  # each delays the answer to one watch until it is set
 
     async def read(self, _key: str) -> Entry | Unavailable:
         return Entry(self.value, self.version)
@@ -60,7 +62,7 @@
 
 
 class FakeClient:
-    """Hands each query to the ownership behind its address; the first answers may get lost."""
+    """Delivers each query to the ownership at its address; a number of first queries is lost."""
 
     def __init__(self, owners: dict[str, SlotOwnership], lost: int = 0) -> None:
         self._owners = owners
@@ -98,7 +100,7 @@
 
 
 async def take_slots(owners: dict[str, SlotOwnership], monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let every owner take its slots; from then on a slot that is not handed over takes no claim for a minute."""
+    """Let every owner accept claims; a slot that is reassigned later without a handover accepts none for a minute."""
     monkeypatch.setattr(module, "CONFIRM_BOUND", 0.2)
     monkeypatch.setattr("vaneturn_core.claims.ledger.CLOCK_MARGIN_S", 0.0)
     for owner in owners.values():
@@ -110,7 +112,7 @@
 
 
 def retire(owners: dict[str, SlotOwnership], *indexes: int) -> None:
-    """Let owners say that they will stop, and all others hear of it."""
+    """Let owners announce their stop, and let all others know it."""
     for index in indexes:
         stopping = owners[make_member(index).address]._table
         stopping.announce_stopping()
@@ -119,7 +121,7 @@
 
 
 @pytest.mark.anyio
-@pytest.mark.parametrize("lost", [0, 40], ids=["all-heard", "first-word-lost"])
+@pytest.mark.parametrize("lost", [0, 40], ids=["no-loss", "first-queries-lost"])
 async def test_hand_over_gives_claims_though_the_watch_answers_before_the_write(
     monkeypatch: pytest.MonkeyPatch, lost: int
 ) -> None:
@@ -182,7 +184,7 @@
         store.held_answers.append(late)
         tasks.start_soon(owner.refresh, 5.0)
         await anyio.wait_all_tasks_blocked()
-        for epoch in (before.epoch + 1, before.epoch + 2):  # the waiting watch gets the first, answered late
+        for epoch in (before.epoch + 1, before.epoch + 2):  # the pending watch gets the first one, with a late answer
             await store.write(
                 SLOTS_KEY, msgspec.json.encode(msgspec.structs.replace(before, epoch=epoch)), store.version
             )
@@ -197,9 +199,10 @@
 async def test_node_that_was_left_out_learns_from_a_claim_that_it_owns_slots_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """At a start three nodes wrote maps in turn, each without a node it had not met; one stayed out of its own view.
+    """A node that is not an owner and no longer refreshes the map misses a newer map in which it owns slots.
 
-    It had stopped looking at the map, so two thirds of the keys were refused for 30 s, until the test gave up.
+    This happened when three nodes started together and wrote maps in turn, each without the nodes that it did not know
+    yet. Two thirds of the keys were then refused for 30 s, until the test timed out.
     """
     monkeypatch.setattr(module, "IDLE", 0.05)
     monkeypatch.setattr(module, "CONFIRM_INTERVAL", 0.05)
@@ -233,18 +236,18 @@
 
 
 def make_newcomer(store: FakeStore) -> SlotOwnership:
-    """Make the part of a node that has met nobody yet."""
+    """Create the ownership of a node that knows no other node yet."""
     return SlotOwnership(store, MemberTable(make_member(7), Random(7), time.monotonic))
 
 
 @pytest.mark.anyio
 async def test_node_that_has_met_nobody_takes_no_slots_of_owners() -> None:
-    """A node knows itself alone at its start, and took every owner that it had not met for gone.
+    """A node that has just started knows only itself, and must not treat owners that it doesn't know as gone.
 
-    Nodes that start together did so to each other in turn, 17 maps within 0.1 s in a run of the whole CI, until one map
-    happened to name a node that all had met; who was not in it owned nothing. The lines "slots assigned" show it, with
-    the slots of each owner and the nodes that the writer knew: here one name, and 64 slots of three living owners. Each
-    such map cost callers eight seconds of refused keys. Owners that were never heard of are asked now.
+    Otherwise nodes that start together reassign each other's slots in turn: 17 maps within 0.1 s were seen, until one
+    map named a node that all knew, and nodes missing from that map owned nothing. In the log lines "slots assigned" the
+    writer then knows one node and takes 64 slots of three live owners. Each such map makes callers' keys be refused for
+    8 s. Therefore unknown owners are asked first.
     """
     store = FakeStore()
     make_owners(store, 3)
--- a/tests/node/test_tenure.py
+++ b/tests/node/test_tenure.py
@@ -1,4 +1,4 @@
-"""At most one node is sure of the tenure, however answers are delayed or lost."""
+"""At most one node is sure of the tenure, even if answers are delayed or lost."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Record:
-    """The one key, shared by the stores of all nodes."""
+    """The key of the tenure, shared by the stores of all nodes."""
 
     def __init__(self) -> None:
         self.entry = Entry(b"", StoreVersion(0))
@@ -30,7 +30,7 @@
 
 
 class FlakyStore:
-    """One node's way to the key; a call may be delayed for longer than the term, and its answer lost."""
+    """One node's access to the key; a call may be delayed for longer than the term, and its answer may be lost."""
 
     def __init__(self, record: Record, rng: Random) -> None:
         self._record = record
@@ -38,7 +38,7 @@
         self.is_well = False
 
     async def _travel(self) -> bool:
-        """Travel one way; false when the message is lost."""
+        """Simulate the delay of a message in one direction; false if the message is lost."""
         if self.is_well:
             return True
         await anyio.sleep(self._rng.choice((0.0, 0.001, 0.01, 2 * module.TERM)))
@@ -123,7 +123,7 @@
 
 @asynccontextmanager
 async def run_well(count: int) -> AsyncIterator[list[Tenure]]:
-    """Run some nodes over a service that is well."""
+    """Run some nodes over a service without faults."""
     tenures, stores = make_tenures(1)
     async with anyio.create_task_group() as tasks:
         for tenure, store in zip(tenures[:count], stores, strict=False):
--- a/tests/node/test_unmet.py
+++ b/tests/node/test_unmet.py
@@ -1,4 +1,4 @@
-"""Owners that a node has not met: asked, and gone only when another node has their address or nobody answers."""
+"""Owners that a node doesn't know are asked, and are gone only if another node has their address or none answers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Network:
-    """Who answers at which address."""
+    """The members that answer at their addresses."""
 
     def __init__(self, *members: Member) -> None:
         self.members = {member.address: member for member in members}
@@ -63,7 +63,7 @@
 
 
 async def test_owner_whose_address_has_another_node_is_gone_at_once(clock: Clock) -> None:
-    """As after a start of all VMs anew: each has its address back, and another name."""
+    """This happens after a restart of all VMs: each gets its old address and a new node name."""
     successor = Member(NodeId("node-9"), VmId("entry-1"), OWNER.address, DataHall("osborne"))
     unmet, table = make_unmet(Network(successor), clock)
     assert await unmet.find_present([OWNER]) == frozenset()
--- a/tests/system/test_at_most_once.py
+++ b/tests/system/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""A request that must not be repeated runs at most once over all nodes, and a refusal means that it was not run."""
+"""A request that must not be repeated runs at most once over all nodes; one answered as not run was not run."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def desk(installation: Installation) -> Installation:
-    """Two nodes and two servers of a plain service."""
+    """Start two nodes and two servers of a plain service."""
     installation.start_platform()
     for index in range(2):
         installation.start_plain(f"desk-{index}", "brokerdesk")
@@ -99,7 +99,7 @@
     answers: list[httpx.Response] = []
     first = threading.Thread(target=lambda: answers.append(post(desk, "entry-0")))
     first.start()
-    time.sleep(0.9)  # the read is answered, the write is under way
+    time.sleep(0.9)  # the read has been answered and the write is in flight
     desk.processes["entry-0"].send(signal.SIGSTOP)
     time.sleep(1.0)
     second = post(desk, "entry-1")
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -1,4 +1,4 @@
-"""A configuration once accepted is in force everywhere within seconds and never reverts."""
+"""An accepted configuration is in force on all nodes within seconds and never reverts."""
 
 from __future__ import annotations
 
--- a/tests/system/test_cuts.py
+++ b/tests/system/test_cuts.py
@@ -1,4 +1,4 @@
-"""One node alone is cut off from the key-value service, and what the cut held up arrives when it heals."""
+"""A single node is cut off from the key-value service; data delayed by the cut is delivered when the cut heals."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def trio(installation: Installation) -> Installation:
-    """Three nodes, one of which can be cut off from the key-value service, and a plain service."""
+    """Start three nodes, one of which can be cut off from the key-value service, and a plain service."""
     installation.start_platform()
     installation.start_plain("desk-0", "brokerdesk")
     installation.start_cuttable_node(CUT)
@@ -116,7 +116,7 @@
 
 
 def test_cut_node_without_slots_is_served_by_the_owners(installation: Installation) -> None:
-    """It asks them for each key, and they are sure of their slots: it may go on, and nothing runs twice."""
+    """The cut node asks the owners for each key; their slots are still confirmed, so requests run, and only once."""
     installation.start_platform()
     installation.start_plain("desk-0", "brokerdesk")
     for node in OTHERS:
--- a/tests/system/test_placing.py
+++ b/tests/system/test_placing.py
@@ -1,4 +1,4 @@
-"""Engines are ordered by one node at a time, within the weight store's limit, and no order cuts a session."""
+"""One node at a time orders engines, within the weight store's limit, and no order interrupts a session."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 TEXT = "Check the verification letter of debtor 8"
 RANGES = ((0, 6), (6, LAYERS))
 LOADS = 2
-SLOW_LAYER = 0.5  # seconds; the first engines with the new version then come later than a request waits for a route
+SLOW_LAYER = 0.5  # seconds; the first engines then have the new version later than a request waits for a route
 
 
 @pytest.fixture
 def ordered(installation: Installation) -> Installation:
-    """Three empty engines for each of two ranges, one of which checks no fence, and two nodes."""
+    """Start two nodes and three empty engines for each of two ranges; one engine of a range checks no fence."""
     start_ordered(installation, "abc")
     return installation
 
@@ -45,7 +45,7 @@
 
 
 def hold(installation: Installation, name: str, version: str = "1") -> bool:
-    """Tell whether the newest part that an engine loaded since its start is of a version."""
+    """Tell whether the last part that an engine loaded since its start is of a version."""
     loaded: list[str] = []
     for entry in installation.read_journal(name):
         if entry["event"] == "start":
@@ -62,7 +62,7 @@
 
 
 def find_holder(installation: Installation) -> str:
-    """Find the node that gave the newest order."""
+    """Find the node that took the tenure over last."""
     ordered = {
         node: [line for line in (installation.folder / f"{node}.log").read_text().splitlines() if "took the pl" in line]
         for node in installation.nodes
@@ -85,7 +85,7 @@
 
 @contextmanager
 def keep_asking(installation: Installation, node: str) -> Iterator[list[tuple[str, str]]]:
-    """Ask one question after the other meanwhile; gives each question with its answer."""
+    """Send one question after the other in the background; yields the list of questions with their answers."""
     answered: list[tuple[str, str]] = []
     is_over = threading.Event()
 
@@ -128,7 +128,7 @@
 
 
 def test_version_that_goes_before_the_first_token_is_changed(installation: Installation) -> None:
-    """The first stage has run, and the second one drops the version before the answer gets there."""
+    """The second stage drops the version after the first stage has run and before the answer reaches the second."""
     installation.start_platform()
     installation.start_weight_store(LOADS)
     for first, end in RANGES:
@@ -153,7 +153,10 @@
 
 
 def test_answer_on_the_previous_version_outlives_its_stage(installation: Installation) -> None:
-    """Every other server has the new version and no room for both when the stage dies; it comes back empty."""
+    """The stage crashes while all other servers have only the new version, without capacity for both.
+
+    It is restarted empty.
+    """
     ordered = installation
     start_ordered(ordered, "abcd")
     with ordered.stream(TEXT, max_tokens=900) as stream:
@@ -174,7 +177,7 @@
 
 
 def is_emptied(installation: Installation, name: str, version: str) -> bool:
-    """Tell whether the newest order to an engine names no part of a version."""
+    """Tell whether the last order to an engine contains no part of a version."""
     holds = [entry["parts"] for entry in installation.read_journal(name) if entry["event"] == "hold"]
     return not any(f":{version}[" in part for part in holds[-1])
 
@@ -184,7 +187,7 @@
 
 
 def test_frozen_holder_that_thaws_orders_nothing(ordered: Installation) -> None:
-    """The engine that checks no fence would take the order that the frozen holder still wants to repeat."""
+    """An engine that checks no fence would accept the order that the frozen holder is about to repeat."""
     frozen = find_holder(ordered)
     other = next(node for node in ordered.nodes if node != frozen)
     unchecked = "runner-0c"
@@ -208,7 +211,7 @@
 
 
 def count_orders(installation: Installation, node: str, server: str) -> int:
-    """Count the orders to a server that a node has logged."""
+    """Count the orders to a server in the log of a node."""
     lines = (installation.folder / f"{node}.log").read_text().splitlines()
     return sum("engine ordered" in line and server in line for line in lines)
 
@@ -235,13 +238,13 @@
 
 
 def test_rollout_goes_on_beside_a_frozen_engine_that_would_be_the_first(ordered: Installation) -> None:
-    """A frozen engine held up a rollout on all others, until its link was found dead some 25 s later.
+    """A frozen engine must not block the rollout on all others until its link is found dead some 25 s later.
 
-    The plan empties one engine of a range at a time, as half of the range must go on. The order to the frozen one was
-    never answered; for the 5 s in which it might have been, the engine counted as empty, so that no other could be
-    spared, and then it was first in the plan again. The log shows it: "engine ordered" runner-0a [] at 7.5, 12.6, 17.7,
-    22.8, 27.8 and 32.8 s, and nothing to runner-0b and runner-0c. One that has not answered comes last now, and nothing
-    is expected of it.
+    The plan empties one engine of a range at a time, as half of the range must keep serving. An order to the frozen
+    engine is not answered. While its answer was awaited for 5 s the engine counted as empty, so that no other engine
+    could be emptied; then it was the first in the plan again. The log showed "engine ordered" for runner-0a with no
+    parts at 7.5, 12.6, 17.7, 22.8, 27.8 and 32.8 s, and none for runner-0b and runner-0c. Therefore an engine that has
+    not answered is the last in the plan, and its capacity is not counted on.
     """
     frozen = "runner-0a"
     ordered.processes[frozen].send(signal.SIGSTOP)
--- a/tests/system/test_rests.py
+++ b/tests/system/test_rests.py
@@ -1,4 +1,4 @@
-"""Servers of plain services that turn calls away and ask for rest get none until it is over."""
+"""Servers of plain services that refuse a call and ask for a rest get no calls until the rest is over."""
 
 from __future__ import annotations
 
--- a/tests/system/test_rollout.py
+++ b/tests/system/test_rollout.py
@@ -1,4 +1,4 @@
-"""A version is rolled out with no session moved between versions."""
+"""A new version is rolled out without moving a session between versions."""
 
 from __future__ import annotations
 
--- a/tests/system/test_slots.py
+++ b/tests/system/test_slots.py
@@ -1,4 +1,4 @@
-"""Claims by slot: at most once over all nodes without a call on the key-value service for a request."""
+"""Claims by slot: requests run at most once over all nodes, without a call to the key-value service for each."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def trio(installation: Installation) -> Installation:
-    """Three nodes that own slots, and a plain service."""
+    """Start three nodes that own slots, and a plain service."""
     installation.start_platform()
     installation.start_plain("desk-0", "brokerdesk")
     for index in range(3):
@@ -28,7 +28,7 @@
 
 
 def is_served(installation: Installation, node: str) -> bool:
-    """Tell whether enough keys in a row are served that every owner has taken its slots over."""
+    """Tell whether 30 keys in a row are served, so that very likely every owner accepts claims for its slots."""
     return all(post(installation, node, make_key()).is_success for _ in range(30))
 
 
@@ -138,7 +138,7 @@
 
 
 def test_node_that_starts_beside_owners_takes_no_slots(trio: Installation) -> None:
-    """It knows itself alone at first; to take the owners for gone would take all slots from them."""
+    """A new node knows only itself at first; if it treated the owners as gone, it would take all slots from them."""
     for index in (3, 4):
         trio.start_node(f"entry-{index}")
     trio.wait_started()
--- a/tests/system/test_stages.py
+++ b/tests/system/test_stages.py
@@ -1,4 +1,4 @@
-"""Answers stay whole and right while their stages fail."""
+"""Answers stay complete and correct while their stages fail."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def finish(installation: Installation, stream: Stream) -> None:
-    """Read to the end; the answer is whole and right, and the journals agree."""
+    """Read to the end; assert that the answer is complete and correct, and that the engines' journals agree."""
     assert stream.read() == expect_text(TEXT, max_tokens=TOKENS)
     assert stream.is_whole
     engines = [name for name in installation.processes if name.startswith("runner")]
@@ -86,7 +86,7 @@
     ):
         other.read(3)
         stream.read(3)
-        assert other.route == stream.route  # one affinity, so their replies can be crossed
+        assert other.route == stream.route  # due to the same affinity, so that their replies can be swapped
         for server in stream.route:
             small.set_faults(server, cross_replies=2)
         finish(small, stream)
