--- a/packages/node/src/vaneturn_node/claims/bykey.py
+++ b/packages/node/src/vaneturn_node/claims/bykey.py
@@ -15,7 +15,7 @@
 from vaneturn_core.ports import Conflict, Entry, KeyValueService, Unavailable
 from vaneturn_node.claims.ports import Claim
 
-PREFIX: Final = "vaneturn/claims/"
+CLAIM_KEY_PREFIX: Final = "vaneturn/claims/"
 
 
 class ClaimState(Enum):
@@ -53,10 +53,10 @@
         if isinstance(result, Conflict):
             return Unknown(Reason.CLAIMED)
         if isinstance(result, Unavailable):
-            return await self._settle(customer, repeat_key, record)
+            return await self._resolve_write(customer, repeat_key, record)
         return Claim(record.id, customer, repeat_key, result)
 
-    async def _settle(
+    async def _resolve_write(
         self, customer: CustomerName, repeat_key: RepeatKey, record: ClaimRecord
     ) -> Claim | NotRun | Unknown:
         """Find out whether the claim was won, after the answer to its write was lost."""
@@ -83,7 +83,7 @@
 def name_claim(customer: CustomerName, repeat_key: RepeatKey) -> str:
     """Compute the key of a claim; the repeat key itself does not appear in it."""
     digest = hashlib.sha256(f"{customer}\0{repeat_key}".encode()).hexdigest()
-    return PREFIX + digest[:32]
+    return CLAIM_KEY_PREFIX + digest[:32]
 
 
 def _is_held(entry: Entry) -> bool:
--- a/packages/node/src/vaneturn_node/claims/byslot.py
+++ b/packages/node/src/vaneturn_node/claims/byslot.py
@@ -18,10 +18,12 @@
 from vaneturn_node.peers.messages import ClaimAnswer, ClaimRequest, ReleaseRequest
 from vaneturn_node.peers.requests import PeerClient
 
-ASK_TIMEOUT: Final = 0.5  # seconds
-TRIES: Final = 5  # all with the same claim id, so that a retry after a lost answer is no second claim
-CLAIM_TIME: Final = 1.5  # seconds until an undecided request is refused as not run
-PAUSE: Final = 0.1  # seconds at most between two tries, full jitter; the slot may get a new owner in between
+ASK_TIMEOUT_S: Final = 0.5  # seconds
+MAX_TRIES: Final = 5  # all with the same claim id, so that a retry after a lost answer is no second claim
+CLAIM_TIMEOUT_S: Final = 1.5  # seconds until an undecided request is refused as not run
+MAX_RETRY_DELAY_S: Final = (
+    0.1  # seconds at most between two tries, full jitter; the slot may get a new owner in between
+)
 
 logger = logging.getLogger(__name__)
 
@@ -45,23 +47,23 @@
         if read_key_time(repeat_key) is None:
             return NotRun(Reason.KEY_WITHOUT_TIME)
         claim = Claim(uuid.uuid4().hex, customer, repeat_key)
-        with anyio.move_on_after(CLAIM_TIME):
-            outcome = await self._find_taker(claim)
+        with anyio.move_on_after(CLAIM_TIMEOUT_S):
+            outcome = await self._claim_at_owner(claim)
             if outcome is not None:
                 return outcome
         # The request is not run, but the owner may have stored the claim: a retry may then be refused as claimed.
         return NotRun(Reason.CLAIM_OWNER_AWAY, retry_after=2.0)
 
-    async def _find_taker(self, claim: Claim) -> Claim | NotRun | Unknown | None:
+    async def _claim_at_owner(self, claim: Claim) -> Claim | NotRun | Unknown | None:
         """Ask the slot's owner, and a new owner if the slot is reassigned meanwhile; None if no owner decides."""
-        for _ in range(TRIES):
+        for _ in range(MAX_TRIES):
             owner = self._ownership.find_owner(claim.customer, claim.repeat_key)
             verdict = await self._ask(owner, claim) if owner else Verdict.NOT_OWNER
             if verdict is Verdict.WON:
                 return claim
             if verdict in _REFUSALS:
                 return _REFUSALS[verdict]
-            await anyio.sleep(random.uniform(0, PAUSE))
+            await anyio.sleep(random.uniform(0, MAX_RETRY_DELAY_S))
             if not await self._ownership.refresh(0.0):
                 return None
         return None
@@ -70,7 +72,7 @@
         if owner.node == self._node:
             return self._ownership.claim(claim.customer, claim.repeat_key, claim.id)
         query = ClaimRequest(claim.customer, claim.repeat_key, claim.id)
-        answer = await self._client.ask(owner.address, query, ASK_TIMEOUT)
+        answer = await self._client.ask(owner.address, query, ASK_TIMEOUT_S)
         return answer.verdict if isinstance(answer, ClaimAnswer) else None
 
     async def release(self, claim: Claim) -> None:
@@ -82,7 +84,7 @@
             self._ownership.release(claim.customer, claim.repeat_key, claim.id)
             return
         query = ReleaseRequest(claim.customer, claim.repeat_key, claim.id)
-        await self._client.ask(owner.address, query, ASK_TIMEOUT)
+        await self._client.ask(owner.address, query, ASK_TIMEOUT_S)
 
 
 __all__ = ["ClaimsBySlot"]
--- a/packages/node/src/vaneturn_node/claims/ownership.py
+++ b/packages/node/src/vaneturn_node/claims/ownership.py
@@ -20,18 +20,18 @@
 from vaneturn_node.peers.messages import HandOver
 from vaneturn_node.peers.requests import PeerClient
 
-CONFIRM_INTERVAL: Final = 2.0  # seconds; the duration of an owner's watch of the map
+CONFIRM_INTERVAL_S: Final = 2.0  # seconds; the duration of an owner's watch of the map
 CONFIRM_BOUND: Final = 6.0  # seconds without a confirmation of the map after which an owner accepts no claims
-RETRY: Final = 0.3  # seconds, full jitter
-HAND_OVER_TIMEOUT: Final = 1.0  # seconds for one try to hand a slot over to its next owner
-HAND_OVER_TRIES: Final = 20
-HAND_OVER_TIME: Final = 8.0  # seconds for the whole handover; bounds a stop during an outage of the store
-HAND_OVER_PAUSE: Final = 0.2  # seconds between two tries
-IDLE: Final = 1.0  # seconds between checks whether this node takes part in keeping the map
+MAX_RETRY_DELAY_S: Final = 0.3  # seconds, full jitter
+HANDOVER_TRY_TIMEOUT_S: Final = 1.0  # seconds for one try to hand a slot over to its next owner
+HANDOVER_TRIES: Final = 20
+HANDOVER_TIMEOUT_S: Final = 8.0  # seconds for the whole handover; bounds a stop during an outage of the store
+HANDOVER_RETRY_DELAY_S: Final = 0.2  # seconds between two tries
+IDLE_INTERVAL_S: Final = 1.0  # seconds between checks whether this node takes part in keeping the map
 # Seconds for which a node keeps refreshing the map after it was asked for a claim in a slot that it doesn't own: the
 # asking node may know a newer map, in which this node owns the slot.
-ASKED_AGE: Final = 5.0
-ASSIGNERS: Final = 2  # nodes of each data hall that keep the map assigned, besides the owners
+REFRESH_AFTER_CLAIM_S: Final = 5.0
+ASSIGNERS_PER_HALL: Final = 2  # nodes of each data hall that keep the map assigned, besides the owners
 
 logger = logging.getLogger(__name__)
 
@@ -54,17 +54,22 @@
     async def run(self) -> None:
         """Keep the map confirmed and assigned until cancelled; other nodes only check whether they should take part."""
         while True:
-            if not self._has_part():
-                await anyio.sleep(IDLE)
+            if not self._takes_part():
+                await anyio.sleep(IDLE_INTERVAL_S)
                 continue
-            if await self.refresh(CONFIRM_INTERVAL):
-                await self._assign()
+            if await self.refresh(CONFIRM_INTERVAL_S):
+                await self._assign_slots()
             else:
-                await anyio.sleep(random.uniform(0, RETRY))
+                await anyio.sleep(random.uniform(0, MAX_RETRY_DELAY_S))
 
-    def _has_part(self) -> bool:
-        is_asked = read_clock() - self._asked_at < ASKED_AGE
-        return is_asked or bool(self._accept_from) or not self.map.slots or self._table.has_role("slots", ASSIGNERS)
+    def _takes_part(self) -> bool:
+        was_asked = read_clock() - self._asked_at < REFRESH_AFTER_CLAIM_S
+        return (
+            was_asked
+            or bool(self._accept_from)
+            or not self.map.slots
+            or self._table.has_role("slots", ASSIGNERS_PER_HALL)
+        )
 
     async def refresh(self, wait: float) -> bool:
         """Confirm the map, or adopt a newer one; false if the service gave no answer."""
@@ -75,11 +80,11 @@
         if started < self._confirmed_at:
             return True  # a call sent later was answered first, so this answer may hold an older map
         if entry is not None:
-            self._take(entry)
+            self._adopt_map(entry)
         self._confirmed_at = started
         return True
 
-    def _take(self, entry: Entry) -> None:
+    def _adopt_map(self, entry: Entry) -> None:
         slot_map = msgspec.json.decode(entry.value, type=SlotMap) if entry.value else SlotMap()
         self._version = entry.version
         if slot_map.epoch < self.map.epoch:
@@ -102,22 +107,22 @@
         self._accept_from.clear()
         self._ledgers.clear()
 
-    async def _assign(self) -> None:
+    async def _assign_slots(self) -> None:
         """Reassign the slots of owners that are gone; the first map waits until the member table has settled."""
         if not self._unmet.is_settled() and not self.map.slots:
             return
-        wanted = await self._make_map()
-        if wanted is None or self._is_stopping:
+        new_map = await self._compute_map()
+        if new_map is None or self._is_stopping:
             return
-        await self._write(wanted)
+        await self._write(new_map)
 
-    async def _make_map(self) -> SlotMap | None:
+    async def _compute_map(self) -> SlotMap | None:
         """Compute the next map, if one is needed."""
         while True:
-            asked = self.map.owners
-            present = await self._unmet.find_present(asked)
-            if asked == self.map.owners:  # a newer map may have arrived meanwhile
-                return reassign_slots(self.map, self._table.list_active(), present)
+            owners = self.map.owners
+            possibly_alive = await self._unmet.find_present(owners)
+            if owners == self.map.owners:  # a newer map may have arrived meanwhile
+                return reassign_slots(self.map, self._table.list_active(), possibly_alive)
 
     async def hand_over(self, client: PeerClient) -> None:
         """Hand each slot with its claims over to another node at a planned stop, so that no key has to be refused.
@@ -128,52 +133,52 @@
         ledgers = dict(self._ledgers)  # the pending watch may return the new map, and drop them, before the write ends
         if not ledgers:
             return
-        with anyio.move_on_after(HAND_OVER_TIME) as scope:
-            if await self._leave_map():
+        with anyio.move_on_after(HANDOVER_TIMEOUT_S) as scope:
+            if await self._leave_slot_map():
                 async with anyio.create_task_group() as tasks:
                     for slot, ledger in ledgers.items():
-                        tasks.start_soon(self._give, client, slot, ledger)
+                        tasks.start_soon(self._hand_over_slot, client, slot, ledger)
         if scope.cancelled_caught:
             logger.warning("slots not handed over in time", extra={"slots": len(ledgers)})
 
-    async def _leave_map(self) -> bool:
+    async def _leave_slot_map(self) -> bool:
         """Write a map without this node; retried, as other nodes may write the map at the same time."""
-        for _ in range(HAND_OVER_TRIES):
+        for _ in range(HANDOVER_TRIES):
             if await self.refresh(0.0):
-                wanted = await self._make_map()
-                if wanted is None:
+                new_map = await self._compute_map()
+                if new_map is None:
                     return self.map.epoch > 0 and not self.map.list_slots(self._table.own.node)
-                if isinstance(await self._write(wanted), int):
+                if isinstance(await self._write(new_map), int):
                     return await self.refresh(0.0)
-            await anyio.sleep(random.uniform(0, HAND_OVER_PAUSE))
+            await anyio.sleep(random.uniform(0, HANDOVER_RETRY_DELAY_S))
         return False
 
-    async def _give(self, client: PeerClient, slot: int, ledger: SlotLedger) -> None:
+    async def _hand_over_slot(self, client: PeerClient, slot: int, ledger: SlotLedger) -> None:
         """Hand a slot over to its next owner, with retries until one confirms; a repeat changes nothing."""
-        for _ in range(HAND_OVER_TRIES):
+        for _ in range(HANDOVER_TRIES):
             owner = self.map.find_owner(slot)
             if owner is not None and owner.node != self._table.own.node:
-                given = HandOver(self.map.epoch, slot, ledger.taken_at, ledger.list_claims())
-                if await client.ask(owner.address, given, HAND_OVER_TIMEOUT) is not None:
+                handover = HandOver(self.map.epoch, slot, ledger.taken_at, ledger.list_claims())
+                if await client.ask(owner.address, handover, HANDOVER_TRY_TIMEOUT_S) is not None:
                     return
-            await anyio.sleep(HAND_OVER_PAUSE)
+            await anyio.sleep(HANDOVER_RETRY_DELAY_S)
             await self.refresh(0.0)  # the next owner may be stopping as well
         logger.warning("slot not handed over", extra={"slot": slot})
 
-    async def take_over(self, given: HandOver) -> bool:
+    async def take_over(self, handover: HandOver) -> bool:
         """Accept claims for a handed-over slot at once; false if this node is not its next owner or is stopping."""
-        if self.map.epoch < given.epoch:
+        if self.map.epoch < handover.epoch:
             await self.refresh(0.0)
-        if self._is_stopping or self.map.epoch != given.epoch or given.slot not in self._accept_from:
+        if self._is_stopping or self.map.epoch != handover.epoch or handover.slot not in self._accept_from:
             return False
-        self._ledgers[given.slot].take_over(given.taken_at, given.claims)
-        self._accept_from[given.slot] = read_clock()
+        self._ledgers[handover.slot].take_over(handover.taken_at, handover.claims)
+        self._accept_from[handover.slot] = read_clock()
         return True
 
-    async def _write(self, wanted: SlotMap) -> StoreVersion | Conflict | Unavailable:
-        written = await self._store.write(SLOTS_KEY, msgspec.json.encode(wanted), self._version)
+    async def _write(self, new_map: SlotMap) -> StoreVersion | Conflict | Unavailable:
+        written = await self._store.write(SLOTS_KEY, msgspec.json.encode(new_map), self._version)
         known = sorted(member.node for member in self._table.list_alive())
-        extra = {"epoch": wanted.epoch, "slots": wanted.count_slots(), "known": known, "result": str(written)}
+        extra = {"epoch": new_map.epoch, "slots": new_map.count_slots(), "known": known, "result": str(written)}
         logger.info("slots assigned", extra=extra)
         return written
 
@@ -188,14 +193,14 @@
         accepts afterwards was created before the pause, and a new owner refuses such keys as too old.
         """
         now = time.time()
-        made_at = read_key_time(repeat_key)
+        created_at = read_key_time(repeat_key)
         slot = find_slot(customer, repeat_key)
         ledger = self._find_ledger(slot)
         if slot not in self._ledgers:
             self._asked_at = read_clock()
-        if made_at is None or ledger is None:
+        if created_at is None or ledger is None:
             return Verdict.NOT_OWNER
-        return ledger.claim(customer, repeat_key, claim, made_at, now)
+        return ledger.claim(customer, repeat_key, claim, created_at, now)
 
     def _find_ledger(self, slot: int) -> SlotLedger | None:
         """Find the ledger of an own slot, if this node may accept claims for the slot now."""
--- a/packages/node/src/vaneturn_node/claims/unmet.py
+++ b/packages/node/src/vaneturn_node/claims/unmet.py
@@ -16,7 +16,7 @@
 
 AskWho = Callable[[str], Awaitable[Member | None]]  # asks which member has a peer address; None without an answer
 
-SETTLE_TIME: Final = 2.0  # seconds; a node whose write to the meeting point met a conflict retries after 1 s
+SETTLE_TIME_S: Final = 2.0  # seconds; a node whose write to the meeting point met a conflict retries after 1 s
 
 logger = logging.getLogger(__name__)
 
@@ -45,26 +45,26 @@
         known = frozenset(member.node for member in self._table.list_active())
         if known != self._known:
             self._known, self._known_since = known, read_clock()
-        return read_clock() - self._known_since >= SETTLE_TIME
+        return read_clock() - self._known_since >= SETTLE_TIME_S
 
     async def find_present(self, owners: Iterable[SlotOwner]) -> frozenset[NodeId]:
         """Ask the owners that are not in the member table; return those that may be alive although still unknown."""
         unmet = [owner for owner in owners if not self._table.is_known(owner.node)]
         self._unmet_since = {owner.node: self._unmet_since.get(owner.node, read_clock()) for owner in unmet}
-        present = {owner.node for owner in unmet}
+        possibly_alive = {owner.node for owner in unmet}
         async with anyio.create_task_group() as tasks:
             for owner in unmet:
-                tasks.start_soon(self._meet, owner, self._unmet_since[owner.node], present)
-        return frozenset(present)
+                tasks.start_soon(self._ask_owner, owner, self._unmet_since[owner.node], possibly_alive)
+        return frozenset(possibly_alive)
 
-    async def _meet(self, owner: SlotOwner, since: float, present: set[NodeId]) -> None:
+    async def _ask_owner(self, owner: SlotOwner, since: float, possibly_alive: set[NodeId]) -> None:
         """Ask at an owner's address; it is gone if another node answers, or none for the suspicion time."""
         member = await self._introduce(owner.address)
         if member is not None:
             self._table.merge([member])
         if member is None and read_clock() - since < self._table.compute_suspicion_time():
             return
-        present.discard(owner.node)
+        possibly_alive.discard(owner.node)
         extra = {"owner": owner.node, "answered": member.node if member is not None else None}
         logger.info("owner of slots asked", extra=extra)
 
--- a/tests/node/test_ownership.py
+++ b/tests/node/test_ownership.py
@@ -125,7 +125,7 @@
 async def test_hand_over_gives_claims_though_the_watch_answers_before_the_write(
     monkeypatch: pytest.MonkeyPatch, lost: int
 ) -> None:
-    monkeypatch.setattr(module, "HAND_OVER_PAUSE", 0.01, raising=False)
+    monkeypatch.setattr(module, "HANDOVER_RETRY_DELAY_S", 0.01, raising=False)
     store = FakeStore()
     owners = make_owners(store)
     await take_slots(owners, monkeypatch)
@@ -160,7 +160,7 @@
 
 @pytest.mark.anyio
 async def test_stop_does_not_wait_for_a_store_that_is_silent(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "HAND_OVER_TIME", 0.1, raising=False)
+    monkeypatch.setattr(module, "HANDOVER_TIMEOUT_S", 0.1, raising=False)
     store = FakeStore()
     owners = make_owners(store)
     await take_slots(owners, monkeypatch)
@@ -204,14 +204,14 @@
     This happened when three nodes started together and wrote maps in turn, each without the nodes that it did not know
     yet. Two thirds of the keys were then refused for 30 s, until the test timed out.
     """
-    monkeypatch.setattr(module, "IDLE", 0.05)
-    monkeypatch.setattr(module, "CONFIRM_INTERVAL", 0.05)
+    monkeypatch.setattr(module, "IDLE_INTERVAL_S", 0.05)
+    monkeypatch.setattr(module, "CONFIRM_INTERVAL_S", 0.05)
     monkeypatch.setattr(module, "CONFIRM_BOUND", 0.2)
     monkeypatch.setattr("vaneturn_core.claims.ledger.CLOCK_MARGIN_S", 0.0)
     store = FakeStore()
     members = [make_member(index) for index in range(3)]
     owners = make_owners(store, 3)
-    idle = next(owner for owner in owners.values() if not owner._table.has_role("slots", module.ASSIGNERS))
+    idle = next(owner for owner in owners.values() if not owner._table.has_role("slots", module.ASSIGNERS_PER_HALL))
     others = [member for member in members if member.node != idle._table.own.node]
     without = reassign_slots(SlotMap(), others)
     store.value, store.version = msgspec.json.encode(without), StoreVersion(1)
--- a/tests/node/test_unmet.py
+++ b/tests/node/test_unmet.py
@@ -90,10 +90,10 @@
 async def test_members_are_settled_when_none_has_come_for_a_while(clock: Clock) -> None:
     unmet, table = make_unmet(Network(), clock)
     assert not unmet.is_settled()
-    clock.now += module.SETTLE_TIME / 2
+    clock.now += module.SETTLE_TIME_S / 2
     table.merge([make_member(2)])
     assert not unmet.is_settled()
-    clock.now += module.SETTLE_TIME / 2
+    clock.now += module.SETTLE_TIME_S / 2
     assert not unmet.is_settled()
-    clock.now += module.SETTLE_TIME / 2
+    clock.now += module.SETTLE_TIME_S / 2
     assert unmet.is_settled()
--- a/tests/rig/mechanisms.py
+++ b/tests/rig/mechanisms.py
@@ -193,7 +193,7 @@
     Proof(
         "a node takes no slots of owners that it has not met",
         "tests/node/test_ownership.py::test_node_that_has_met_nobody_takes_no_slots_of_owners",
-        (Edit(f"{NODE}/claims/unmet.py", "        return frozenset(present)", "        return frozenset()"),),
+        (Edit(f"{NODE}/claims/unmet.py", "        return frozenset(possibly_alive)", "        return frozenset()"),),
     ),
     Proof(
         "loads stay within the budget of the weight store",
