--- a/packages/node/src/vaneturn_node/placing/placer.py
+++ b/packages/node/src/vaneturn_node/placing/placer.py
@@ -21,20 +21,20 @@
 from vaneturn_node.placing.tenure import Tenure
 from vaneturn_node.stages.pool import LinkPool
 
-ROUND: Final = 0.5  # seconds between two rounds
-ORDER_TIME: Final = 1.0  # seconds at most for an order to reach its engine; the tenure must last that much longer
+ROUND_INTERVAL_S: Final = 0.5  # seconds between two rounds
+ORDER_TIMEOUT_S: Final = 1.0  # seconds at most for an order to reach its engine; the tenure must last that much longer
 
 logger = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True)
-class _View:
+class _PlanInputs:
     """The inputs of a plan."""
 
     revision: Revision
-    said: Mapping[VmId, Holdings]
+    reports: Mapping[VmId, Holdings]
     unusable: frozenset[VmId]
-    silent: frozenset[VmId]
+    unresponsive: frozenset[VmId]
 
 
 class Placer:
@@ -49,7 +49,7 @@
         self._healths = healths
         self._metrics = metrics
         self._stuck: tuple[str, ...] = ()
-        self._settled: _View | None = None  # the last view that needed no orders
+        self._settled_inputs: _PlanInputs | None = None  # the last inputs that needed no orders
 
     async def run(self) -> None:
         """Run rounds until cancelled; the tenure is sought only once an engine has reported holdings."""
@@ -58,9 +58,9 @@
             tasks.start_soon(self._tenure.run)
             while True:
                 self._note_fences()
-                if self._tenure.is_sure(ORDER_TIME):
+                if self._tenure.is_sure(ORDER_TIMEOUT_S):
                     self._order()
-                await anyio.sleep(ROUND)
+                await anyio.sleep(ROUND_INTERVAL_S)
 
     def _note_fences(self) -> None:
         for vm, holdings in self._pool.list_holdings().items():
@@ -71,11 +71,11 @@
     def _order(self) -> None:
         """Run one round, without an await between the plan and the orders."""
         unusable = self._pool.list_down() | self._healths.list_leaving()
-        view = _View(self._in_force.revision, self._pool.list_holdings(), unusable, self._pool.list_silent())
-        if view == self._settled:
+        inputs = _PlanInputs(self._in_force.revision, self._pool.list_holdings(), unusable, self._pool.list_silent())
+        if inputs == self._settled_inputs:
             return
-        plan = plan_holdings(self._in_force.view.configuration, view.said, unusable, view.silent)
-        self._settled = None if plan.orders else view
+        plan = plan_holdings(self._in_force.view.configuration, inputs.reports, unusable, inputs.unresponsive)
+        self._settled_inputs = None if plan.orders else inputs
         if plan.stuck != self._stuck:
             self._stuck = plan.stuck
             logger.warning("servers cannot change without taking the last replica", extra={"servers": plan.stuck})
@@ -86,18 +86,18 @@
 
     def _may_order(self, server: Server) -> bool:
         """Tell whether no order of the previous holder can reach the server after this one."""
-        if not self._tenure.is_sure(ORDER_TIME):
+        if not self._tenure.is_sure(ORDER_TIMEOUT_S):
             return False
-        return server.checks_fence or read_clock() >= self._tenure.since + ORDER_TIME
+        return server.checks_fence or read_clock() >= self._tenure.since + ORDER_TIMEOUT_S
 
     def _send(self, order: HoldOrder) -> None:
         link = self._pool[order.vm]
         if link is None or link.holding.is_ordered:
             return
-        link.order(Hold(self._tenure.fence, order.parts), lambda: self._tenure.is_sure(ORDER_TIME))
+        link.order(Hold(self._tenure.fence, order.parts), lambda: self._tenure.is_sure(ORDER_TIMEOUT_S))
         self._metrics.orders.inc()
         parts = [str(part) for part in order.parts]
         logger.info("engine ordered", extra={"server": order.vm, "parts": parts, "fence": self._tenure.fence})
 
 
-__all__ = ["ORDER_TIME", "ROUND", "Placer"]
+__all__ = ["ORDER_TIMEOUT_S", "ROUND_INTERVAL_S", "Placer"]
--- a/packages/node/src/vaneturn_node/placing/tenure.py
+++ b/packages/node/src/vaneturn_node/placing/tenure.py
@@ -21,11 +21,11 @@
 from vaneturn_node.clock import read_clock
 
 TENURE_KEY: Final = "vaneturn/placer"
-TERM: Final = 9.0  # seconds
-BEAT: Final = 3.0  # seconds between two writes of the holder
-RETRY: Final = 0.5  # seconds, full jitter
-IDLE: Final = 1.0  # seconds between checks whether this node is a candidate
-CANDIDATES: Final = 1  # nodes of each data hall that may take over
+TERM_S: Final = 9.0  # seconds
+BEAT_INTERVAL_S: Final = 3.0  # seconds between two writes of the holder
+MAX_RETRY_DELAY_S: Final = 0.5  # seconds, full jitter
+IDLE_INTERVAL_S: Final = 1.0  # seconds between checks whether this node is a candidate
+CANDIDATES_PER_HALL: Final = 1  # nodes of each data hall that may take over
 
 logger = logging.getLogger(__name__)
 
@@ -76,48 +76,48 @@
         """Renew the tenure, or take it over when it lapses, until cancelled."""
         while not self._is_stopping:
             if self._is_holder():
-                await self._keep()
-            elif self._table.has_role("placer", CANDIDATES):
-                await self._await_turn()
+                await self._renew()
+            elif self._table.has_role("placer", CANDIDATES_PER_HALL):
+                await self._wait_to_take_over()
             else:
-                await anyio.sleep(IDLE)
+                await anyio.sleep(IDLE_INTERVAL_S)
 
-    async def _keep(self) -> None:
+    async def _renew(self) -> None:
         """Write the next beat; if that fails, read whether another node has taken over."""
         record = msgspec.structs.replace(self._record, beat=self._record.beat + 1)
         if await self._write(record):
-            await anyio.sleep(BEAT)
+            await anyio.sleep(BEAT_INTERVAL_S)
             return
-        await anyio.sleep(random.uniform(0, RETRY))
-        await self._look(0.0)  # a write whose answer was lost may have taken effect
+        await anyio.sleep(random.uniform(0, MAX_RETRY_DELAY_S))
+        await self._watch_record(0.0)  # a write whose answer was lost may have taken effect
 
-    async def _await_turn(self) -> None:
+    async def _wait_to_take_over(self) -> None:
         """Watch the record for the rest of the term, and take over if it has not changed."""
-        left = self._seen_at + TERM - read_clock()
+        remaining = self._seen_at + TERM_S - read_clock()
         if not self._record.node and self._version >= 0:
-            left = 0.0  # no node holds the tenure
-        if left > 0 or self._version < 0:
-            if not await self._look(max(0.0, min(left, TERM))):
-                await anyio.sleep(random.uniform(0, RETRY))
+            remaining = 0.0  # no node holds the tenure
+        if remaining > 0 or self._version < 0:
+            if not await self._watch_record(max(0.0, min(remaining, TERM_S))):
+                await anyio.sleep(random.uniform(0, MAX_RETRY_DELAY_S))
             return
         fence = max(self._record.fence, self._newest_fence) + 1
         if await self._write(TenureRecord(fence, self._table.own.node)):
             self.since = read_clock()
             logger.info("took the placing over", extra={"fence": fence})
             return
-        await anyio.sleep(random.uniform(0, RETRY))
-        await self._look(0.0)
+        await anyio.sleep(random.uniform(0, MAX_RETRY_DELAY_S))
+        await self._watch_record(0.0)
 
-    async def _look(self, wait: float) -> bool:
+    async def _watch_record(self, wait: float) -> bool:
         """Watch the record; false if the service gave no answer."""
         entry = await self._store.watch(TENURE_KEY, self._version, wait)
         if isinstance(entry, Unavailable):
             return False
         if entry is not None:
-            self._take(entry)
+            self._adopt_record(entry)
         return True
 
-    def _take(self, entry: Entry) -> None:
+    def _adopt_record(self, entry: Entry) -> None:
         self._version = entry.version
         self._seen_at = read_clock()
         self._record = msgspec.json.decode(entry.value, type=TenureRecord) if entry.value else TenureRecord()
@@ -134,7 +134,7 @@
         self._version = written
         self._seen_at = read_clock()
         self._record = record
-        self._sure_until = started + TERM if record.node else float("-inf")
+        self._sure_until = started + TERM_S if record.node else float("-inf")
         return True
 
     async def give_up(self) -> None:
@@ -145,4 +145,4 @@
             await self._write(TenureRecord(self._record.fence))
 
 
-__all__ = ["BEAT", "TENURE_KEY", "TERM", "Tenure", "TenureRecord"]
+__all__ = ["BEAT_INTERVAL_S", "TENURE_KEY", "TERM_S", "Tenure", "TenureRecord"]
--- a/tests/node/test_tenure.py
+++ b/tests/node/test_tenure.py
@@ -18,10 +18,10 @@
 from vaneturn_node.placing.tenure import Tenure
 
 NODES = 3
-MANY_TERMS = 4.0  # seconds
+MANY_TERMS_S = 4.0
 
 
-class Record:
+class StoredRecord:
     """The key of the tenure, shared by the stores of all nodes."""
 
     def __init__(self) -> None:
@@ -32,54 +32,54 @@
 class FlakyStore:
     """One node's access to the key; a call may be delayed for longer than the term, and its answer may be lost."""
 
-    def __init__(self, record: Record, rng: Random) -> None:
+    def __init__(self, record: StoredRecord, rng: Random) -> None:
         self._record = record
         self._rng = rng
-        self.is_well = False
+        self.is_healthy = False
 
-    async def _travel(self) -> bool:
+    async def _deliver(self) -> bool:
         """Simulate the delay of a message in one direction; false if the message is lost."""
-        if self.is_well:
+        if self.is_healthy:
             return True
-        await anyio.sleep(self._rng.choice((0.0, 0.001, 0.01, 2 * module.TERM)))
+        await anyio.sleep(self._rng.choice((0.0, 0.001, 0.01, 2 * module.TERM_S)))
         return self._rng.random() < 0.8
 
     async def read(self, _key: str) -> Entry | Unavailable:
         return self._record.entry
 
     async def watch(self, _key: str, after: StoreVersion, wait: float) -> Entry | Unavailable | None:
-        if not await self._travel():
+        if not await self._deliver():
             return Unavailable("lost")
         with anyio.move_on_after(wait):
             while self._record.entry.version == after:
                 await self._record.changed.wait()
         entry = self._record.entry
-        if not await self._travel():
+        if not await self._deliver():
             return Unavailable("lost")
         return None if entry.version == after else entry
 
     async def write(self, _key: str, value: bytes, expected: StoreVersion) -> StoreVersion | Conflict | Unavailable:
-        if not await self._travel():
+        if not await self._deliver():
             return Unavailable("lost")
-        present = self._record.entry.version
-        if expected != present:
-            return Conflict(present)
-        self._record.entry = Entry(value, StoreVersion(present + 1))
+        current = self._record.entry.version
+        if expected != current:
+            return Conflict(current)
+        self._record.entry = Entry(value, StoreVersion(current + 1))
         self._record.changed.set()
         self._record.changed = anyio.Event()
-        return StoreVersion(present + 1) if await self._travel() else Unavailable("lost")
+        return StoreVersion(current + 1) if await self._deliver() else Unavailable("lost")
 
 
 @pytest.fixture(autouse=True)
 def _short_term(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "TERM", 0.15)
-    monkeypatch.setattr(module, "BEAT", 0.04)
-    monkeypatch.setattr(module, "RETRY", 0.01)
-    monkeypatch.setattr(module, "CANDIDATES", NODES)
+    monkeypatch.setattr(module, "TERM_S", 0.15)
+    monkeypatch.setattr(module, "BEAT_INTERVAL_S", 0.04)
+    monkeypatch.setattr(module, "MAX_RETRY_DELAY_S", 0.01)
+    monkeypatch.setattr(module, "CANDIDATES_PER_HALL", NODES)
 
 
 def make_tenures(seed: int) -> tuple[list[Tenure], list[FlakyStore]]:
-    record = Record()
+    record = StoredRecord()
     members = [Member(NodeId(f"n{index}"), VmId(f"e{index}"), "", DataHall("osborne")) for index in range(NODES)]
     stores = [FlakyStore(record, Random(seed * NODES + index)) for index in range(NODES)]
     tenures = []
@@ -106,7 +106,7 @@
     async with anyio.create_task_group() as tasks:
         for tenure in tenures:
             tasks.start_soon(tenure.run)
-        until = time.monotonic() + MANY_TERMS
+        until = time.monotonic() + MANY_TERMS_S
         while time.monotonic() < until:
             sure = [tenure for tenure in tenures if tenure.is_sure(0.0)]
             assert len(sure) <= 1
@@ -114,7 +114,7 @@
                 fences.append(sure[0].fence)
             await anyio.sleep(0.001)
         for store in stores:
-            store.is_well = True
+            store.is_healthy = True
         await wait_for_holder(tenures)
         tasks.cancel_scope.cancel()
     assert fences
@@ -122,12 +122,12 @@
 
 
 @asynccontextmanager
-async def run_well(count: int) -> AsyncIterator[list[Tenure]]:
+async def run_without_faults(count: int) -> AsyncIterator[list[Tenure]]:
     """Run some nodes over a service without faults."""
     tenures, stores = make_tenures(1)
     async with anyio.create_task_group() as tasks:
         for tenure, store in zip(tenures[:count], stores, strict=False):
-            store.is_well = True
+            store.is_healthy = True
             tasks.start_soon(tenure.run)
         yield tenures
         tasks.cancel_scope.cancel()
@@ -135,7 +135,7 @@
 
 @pytest.mark.anyio
 async def test_planned_stop_leaves_the_tenure_to_the_next() -> None:
-    async with run_well(NODES) as tenures:
+    async with run_without_faults(NODES) as tenures:
         first = await wait_for_holder(tenures)
         await first.give_up()
         assert not first.is_sure(0.0)
@@ -146,7 +146,7 @@
 
 @pytest.mark.anyio
 async def test_fence_seen_by_an_engine_is_exceeded() -> None:
-    async with run_well(1) as tenures:
+    async with run_without_faults(1) as tenures:
         await wait_for_holder(tenures)
         tenures[0].note_fence(41)
         assert not tenures[0].is_sure(0.0)
--- a/tests/rig/mechanisms.py
+++ b/tests/rig/mechanisms.py
@@ -172,7 +172,7 @@
     Proof(
         "a takeover waits for the whole term",
         "tests/node/test_tenure.py",
-        (Edit(f"{NODE}/placing/tenure.py", "left = self._seen_at + TERM - read_clock()", "left = 0.0"),),
+        (Edit(f"{NODE}/placing/tenure.py", "remaining = self._seen_at + TERM_S - read_clock()", "remaining = 0.0"),),
     ),
     Proof(
         "a server is emptied only if enough goes on",
