--- a/packages/node/src/vaneturn_node/configuration/changes.py
+++ b/packages/node/src/vaneturn_node/configuration/changes.py
@@ -24,8 +24,8 @@
 from vaneturn_core.ports import Conflict, Entry, KeyValueService, Unavailable
 from vaneturn_node.configuration.inforce import ConfigurationInForce
 
-SETTLE_TIME: Final = 5.0  # seconds to find out whether a write with a lost answer took effect
-SETTLE_RETRY: Final = 0.2  # seconds
+SETTLE_TIMEOUT_S: Final = 5.0  # seconds to find out whether a write with a lost answer took effect
+SETTLE_RETRY_DELAY_S: Final = 0.2  # seconds
 
 logger = logging.getLogger(__name__)
 
@@ -128,15 +128,15 @@
 
     async def _settle(self, change: ChangeId) -> ChangeResult:
         """Find out whether the change is in the store, after a lost answer or a conflict."""
-        with anyio.move_on_after(SETTLE_TIME):
+        with anyio.move_on_after(SETTLE_TIMEOUT_S):
             while True:
                 entry = await self._store.read(CONFIGURATION_KEY)
                 if isinstance(entry, Entry):
-                    return self._judge(entry, change)
-                await anyio.sleep(SETTLE_RETRY)
+                    return self._find_result(entry, change)
+                await anyio.sleep(SETTLE_RETRY_DELAY_S)
         return Unsettled(change)
 
-    def _judge(self, entry: Entry, change: ChangeId) -> ChangeResult:
+    def _find_result(self, entry: Entry, change: ChangeId) -> ChangeResult:
         configuration = decode_configuration(entry.value) if entry.value else Configuration()
         if isinstance(configuration, Fault):
             return Unsettled(change)
--- a/packages/node/src/vaneturn_node/configuration/follower.py
+++ b/packages/node/src/vaneturn_node/configuration/follower.py
@@ -14,12 +14,12 @@
 from vaneturn_core.ports import Entry, KeyValueService, Unavailable
 from vaneturn_node.configuration.inforce import ConfigurationInForce, Offer
 
-WATCH: Final = 20.0  # seconds; the service counts each watch as one call
+WATCH_TIME_S: Final = 20.0  # seconds; the service counts each watch as one call
 WATCHERS: Final = 4  # nodes of each data hall that watch; the others get changes from their peers
-CHOICE_INTERVAL: Final = 1.0  # seconds between checks whether this node should watch
-FIRST_BACKOFF: Final = 0.2  # seconds, full jitter
-LAST_BACKOFF: Final = 2.0  # seconds
-RESTORE_SPREAD: Final = 1.0  # seconds; random delay at most before a node writes a newer document back
+ROLE_CHECK_INTERVAL_S: Final = 1.0  # seconds between checks whether this node should watch
+MIN_BACKOFF_S: Final = 0.2  # seconds, full jitter
+MAX_BACKOFF_S: Final = 2.0  # seconds
+MAX_RESTORE_DELAY_S: Final = 1.0  # seconds; random delay at most before a node writes a newer document back
 
 logger = logging.getLogger(__name__)
 
@@ -35,29 +35,29 @@
     async def run(self) -> None:
         """Follow the key until cancelled; once a configuration is known, only some nodes watch."""
         version = StoreVersion(-1)  # differs from any version of a key, so that the first watch returns at once
-        backoff = FIRST_BACKOFF
+        backoff = MIN_BACKOFF_S
         while True:
             if self._in_force.revision and not self._is_chosen():
-                await anyio.sleep(CHOICE_INTERVAL)
+                await anyio.sleep(ROLE_CHECK_INTERVAL_S)
                 continue
-            entry = await self._store.watch(CONFIGURATION_KEY, version, WATCH)
+            entry = await self._store.watch(CONFIGURATION_KEY, version, WATCH_TIME_S)
             if isinstance(entry, Unavailable):
                 await anyio.sleep(random.uniform(0, backoff))
-                backoff = min(LAST_BACKOFF, backoff * 2)
+                backoff = min(MAX_BACKOFF_S, backoff * 2)
                 continue
-            backoff = FIRST_BACKOFF
+            backoff = MIN_BACKOFF_S
             if entry is not None:
                 version = entry.version
-                await self._take(entry)
+                await self._apply(entry)
 
-    async def _take(self, entry: Entry) -> None:
-        is_behind = not entry.value or self._in_force.offer(entry.value) is Offer.OLDER
-        if is_behind and self._in_force.data:
+    async def _apply(self, entry: Entry) -> None:
+        is_store_older = not entry.value or self._in_force.offer(entry.value) is Offer.OLDER
+        if is_store_older and self._in_force.data:
             await self._restore(entry)
 
     async def _restore(self, entry: Entry) -> None:
         """Write the newer document back by compare-and-swap; the first of all nodes that try succeeds."""
-        await anyio.sleep(random.uniform(0, RESTORE_SPREAD))
+        await anyio.sleep(random.uniform(0, MAX_RESTORE_DELAY_S))
         result = await self._store.write(CONFIGURATION_KEY, self._in_force.data, entry.version)
         logger.warning(
             "store held an older configuration",
--- a/packages/node/src/vaneturn_node/limits/admission.py
+++ b/packages/node/src/vaneturn_node/limits/admission.py
@@ -16,24 +16,24 @@
 from vaneturn_core.outcomes import NotRun, Reason
 from vaneturn_node.metrics import Metrics
 
-FIRST_GUESS: Final = 2.0  # seconds; the initial average duration of an answer, before any was measured
-SECONDS_WEIGHT: Final = 0.05  # weight of the newest answer in the moving average of durations
+INITIAL_ANSWER_TIME_S: Final = 2.0  # initial average duration of an answer, before any was measured
+ANSWER_TIME_WEIGHT: Final = 0.05  # weight of the newest answer in the moving average of durations
 
 
 @dataclass
-class _Waiting:
+class _WaitingRequest:
     """A request in the queue for a pipeline."""
 
     granted: anyio.Event = field(default_factory=anyio.Event)
 
 
 @dataclass
-class _Gate:
+class _PipelineState:
     """The admission state of one pipeline on this node."""
 
     in_progress: int = 0
-    seconds: float = FIRST_GUESS  # moving average of the duration of an answer
-    queue: FairQueue[_Waiting] = field(default_factory=FairQueue)
+    answer_time: float = INITIAL_ANSWER_TIME_S  # moving average of the duration of an answer in seconds
+    queue: FairQueue[_WaitingRequest] = field(default_factory=FairQueue)
 
 
 class Admission:
@@ -46,7 +46,7 @@
         self._read_bound = read_bound
         self._count_nodes = count_nodes
         self._by_customer: Counter[CustomerName] = Counter()
-        self._gates: dict[PipelineName, _Gate] = {}
+        self._pipelines: dict[PipelineName, _PipelineState] = {}
         self._idle = anyio.Event()
         self.ready = True  # becomes false before `stopping` is set: load balancers leave before requests are refused
         self.stopping = False
@@ -81,50 +81,50 @@
 
         Call leave_pipeline() to free the place.
         """
-        gate = self._gates.setdefault(pipeline.name, _Gate())
+        state = self._pipelines.setdefault(pipeline.name, _PipelineState())
         limit = self._compute_limit(pipeline)
-        if gate.in_progress < limit and not gate.queue:
-            gate.in_progress += 1
+        if state.in_progress < limit and not state.queue:
+            state.in_progress += 1
             return None
         flow = f"{work_class.name} {customer.name}"
-        expected = (gate.queue.count_ahead(flow) + 1) * gate.seconds / limit
-        if expected > work_class.max_wait:
-            return NotRun(Reason.OVERLOAD, retry_after=expected)
-        waiting = _Waiting()
-        place = gate.queue.push(flow, compute_class_weight(work_class.weight, work_class.priority), waiting)
+        expected_wait = (state.queue.count_ahead(flow) + 1) * state.answer_time / limit
+        if expected_wait > work_class.max_wait:
+            return NotRun(Reason.OVERLOAD, retry_after=expected_wait)
+        waiting = _WaitingRequest()
+        place = state.queue.push(flow, compute_class_weight(work_class.weight, work_class.priority), waiting)
         try:
             with anyio.move_on_after(work_class.max_wait):
                 await waiting.granted.wait()
         except BaseException:
-            if not gate.queue.remove(place):
-                self._pass_on(gate, limit)
+            if not state.queue.remove(place):
+                self._free_place(state, limit)
             raise
         if waiting.granted.is_set():
             return None
-        gate.queue.remove(place)
-        return NotRun(Reason.OVERLOAD, retry_after=expected)
+        state.queue.remove(place)
+        return NotRun(Reason.OVERLOAD, retry_after=expected_wait)
 
     def enter_resumed(self, pipeline: Pipeline) -> None:
         """Take a place regardless of the limit, for an answer that another node had admitted."""
-        self._gates.setdefault(pipeline.name, _Gate()).in_progress += 1
+        self._pipelines.setdefault(pipeline.name, _PipelineState()).in_progress += 1
 
-    def leave_pipeline(self, pipeline: Pipeline, seconds: float) -> None:
+    def leave_pipeline(self, pipeline: Pipeline, answer_time: float) -> None:
         """Free a place.
 
-        :param seconds: duration of the answer.
+        :param answer_time: duration of the answer in seconds.
         """
-        gate = self._gates[pipeline.name]
-        gate.seconds += SECONDS_WEIGHT * (seconds - gate.seconds)
-        self._pass_on(gate, self._compute_limit(pipeline))
+        state = self._pipelines[pipeline.name]
+        state.answer_time += ANSWER_TIME_WEIGHT * (answer_time - state.answer_time)
+        self._free_place(state, self._compute_limit(pipeline))
 
-    def _pass_on(self, gate: _Gate, limit: int) -> None:
+    def _free_place(self, state: _PipelineState, limit: int) -> None:
         """Free a place and admit as many waiting requests as the limit allows."""
-        gate.in_progress -= 1
-        if gate.in_progress < 0:
+        state.in_progress -= 1
+        if state.in_progress < 0:
             raise AssertionError("more places freed than taken")
-        while gate.queue and gate.in_progress < limit:
-            gate.in_progress += 1
-            gate.queue.pop().granted.set()
+        while state.queue and state.in_progress < limit:
+            state.in_progress += 1
+            state.queue.pop().granted.set()
 
     def _compute_limit(self, pipeline: Pipeline) -> int:
         return compute_limit(self._read_bound(pipeline.name), pipeline.token_time, self._count_nodes())
