--- a/bench/joins.py
+++ b/bench/joins.py
@@ -128,7 +128,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(link.run)
         await link.wait_connected()
-        link.window.add(sessions)
+        link.window.add_share(sessions)
         taken = await repeat(sessions, steps, run)
         tasks.cancel_scope.cancel()
     return taken
--- a/packages/node/src/vaneturn_node/answers/stagerun.py
+++ b/packages/node/src/vaneturn_node/answers/stagerun.py
@@ -88,12 +88,12 @@
     def follow(self, route: Route | None) -> None:
         """Move the answer's shares of step windows from the links of the previous route to those of a new one."""
         for expected_link, share in self._expected:
-            expected_link.window.add(-share)
+            expected_link.window.add_share(-share)
         hops = route.hops if route else ()
         links = [self._pool[hop.vm] for hop in hops]
         self._expected = [(link, 1 / len(hops)) for link in links if link is not None]
         for expected_link, share in self._expected:
-            expected_link.window.add(share)
+            expected_link.window.add_share(share)
 
     def leave_to_successor(self) -> None:
         """Keep the caches when closing, as another node has resumed the session."""
--- a/packages/node/src/vaneturn_node/claims/byslot.py
+++ b/packages/node/src/vaneturn_node/claims/byslot.py
@@ -18,12 +18,10 @@
 from vaneturn_node.peers.messages import ClaimAnswer, ClaimRequest, ReleaseRequest
 from vaneturn_node.peers.requests import PeerClient
 
-ASK_TIMEOUT_S: Final = 0.5  # seconds
+ASK_TIMEOUT_S: Final = 0.5
 MAX_TRIES: Final = 5  # all with the same claim id, so that a retry after a lost answer is no second claim
-CLAIM_TIMEOUT_S: Final = 1.5  # seconds until an undecided request is refused as not run
-MAX_RETRY_DELAY_S: Final = (
-    0.1  # seconds at most between two tries, full jitter; the slot may get a new owner in between
-)
+CLAIM_TIMEOUT_S: Final = 1.5  # after which an undecided request is refused as not run
+MAX_RETRY_DELAY_S: Final = 0.1  # full jitter; the slot may get a new owner between two tries
 
 logger = logging.getLogger(__name__)
 
--- a/packages/node/src/vaneturn_node/claims/ownership.py
+++ b/packages/node/src/vaneturn_node/claims/ownership.py
@@ -20,16 +20,16 @@
 from vaneturn_node.peers.messages import HandOver
 from vaneturn_node.peers.requests import PeerClient
 
-CONFIRM_INTERVAL_S: Final = 2.0  # seconds; the duration of an owner's watch of the map
+CONFIRM_INTERVAL_S: Final = 2.0  # the duration of an owner's watch of the map
 CONFIRM_BOUND: Final = 6.0  # seconds without a confirmation of the map after which an owner accepts no claims
-MAX_RETRY_DELAY_S: Final = 0.3  # seconds, full jitter
-HANDOVER_TRY_TIMEOUT_S: Final = 1.0  # seconds for one try to hand a slot over to its next owner
+MAX_RETRY_DELAY_S: Final = 0.3  # full jitter
+HANDOVER_TRY_TIMEOUT_S: Final = 1.0  # for one try to hand a slot over to its next owner
 HANDOVER_TRIES: Final = 20
-HANDOVER_TIMEOUT_S: Final = 8.0  # seconds for the whole handover; bounds a stop during an outage of the store
-HANDOVER_RETRY_DELAY_S: Final = 0.2  # seconds between two tries
-IDLE_INTERVAL_S: Final = 1.0  # seconds between checks whether this node takes part in keeping the map
-# Seconds for which a node keeps refreshing the map after it was asked for a claim in a slot that it doesn't own: the
-# asking node may know a newer map, in which this node owns the slot.
+HANDOVER_TIMEOUT_S: Final = 8.0  # for the whole handover; bounds a stop during an outage of the store
+HANDOVER_RETRY_DELAY_S: Final = 0.2
+IDLE_INTERVAL_S: Final = 1.0  # between checks whether this node takes part in keeping the map
+# How long a node keeps refreshing the map after it was asked for a claim in a slot that it doesn't own: the asking node
+# may know a newer map, in which this node owns the slot.
 REFRESH_AFTER_CLAIM_S: Final = 5.0
 ASSIGNERS_PER_HALL: Final = 2  # nodes of each data hall that keep the map assigned, besides the owners
 
--- a/packages/node/src/vaneturn_node/claims/unmet.py
+++ b/packages/node/src/vaneturn_node/claims/unmet.py
@@ -16,7 +16,7 @@
 
 AskWho = Callable[[str], Awaitable[Member | None]]  # asks which member has a peer address; None without an answer
 
-SETTLE_TIME_S: Final = 2.0  # seconds; a node whose write to the meeting point met a conflict retries after 1 s
+SETTLE_TIME_S: Final = 2.0  # a node whose write to the meeting point met a conflict retries after 1 s
 
 logger = logging.getLogger(__name__)
 
--- a/packages/node/src/vaneturn_node/configuration/changes.py
+++ b/packages/node/src/vaneturn_node/configuration/changes.py
@@ -24,8 +24,8 @@
 from vaneturn_core.ports import Conflict, Entry, KeyValueService, Unavailable
 from vaneturn_node.configuration.inforce import ConfigurationInForce
 
-SETTLE_TIMEOUT_S: Final = 5.0  # seconds to find out whether a write with a lost answer took effect
-SETTLE_RETRY_DELAY_S: Final = 0.2  # seconds
+SETTLE_TIMEOUT_S: Final = 5.0  # to find out whether a write with a lost answer took effect
+SETTLE_RETRY_DELAY_S: Final = 0.2
 
 logger = logging.getLogger(__name__)
 
--- a/packages/node/src/vaneturn_node/configuration/follower.py
+++ b/packages/node/src/vaneturn_node/configuration/follower.py
@@ -14,12 +14,12 @@
 from vaneturn_core.ports import Entry, KeyValueService, Unavailable
 from vaneturn_node.configuration.inforce import ConfigurationInForce, Offer
 
-WATCH_TIME_S: Final = 20.0  # seconds; the service counts each watch as one call
+WATCH_TIME_S: Final = 20.0  # the service counts each watch as one call
 WATCHERS: Final = 4  # nodes of each data hall that watch; the others get changes from their peers
-ROLE_CHECK_INTERVAL_S: Final = 1.0  # seconds between checks whether this node should watch
-MIN_BACKOFF_S: Final = 0.2  # seconds, full jitter
-MAX_BACKOFF_S: Final = 2.0  # seconds
-MAX_RESTORE_DELAY_S: Final = 1.0  # seconds; random delay at most before a node writes a newer document back
+ROLE_CHECK_INTERVAL_S: Final = 1.0  # between checks whether this node should watch
+MIN_BACKOFF_S: Final = 0.2  # full jitter
+MAX_BACKOFF_S: Final = 2.0
+MAX_RESTORE_DELAY_S: Final = 1.0  # random delays spread the nodes that write a newer document back
 
 logger = logging.getLogger(__name__)
 
--- a/packages/node/src/vaneturn_node/placing/placer.py
+++ b/packages/node/src/vaneturn_node/placing/placer.py
@@ -21,8 +21,8 @@
 from vaneturn_node.placing.tenure import Tenure
 from vaneturn_node.stages.pool import LinkPool
 
-ROUND_INTERVAL_S: Final = 0.5  # seconds between two rounds
-ORDER_TIMEOUT_S: Final = 1.0  # seconds at most for an order to reach its engine; the tenure must last that much longer
+ROUND_INTERVAL_S: Final = 0.5
+ORDER_TIMEOUT_S: Final = 1.0  # for an order to reach its engine; the tenure must last that much longer
 
 logger = logging.getLogger(__name__)
 
@@ -71,7 +71,9 @@
     def _order(self) -> None:
         """Run one round, without an await between the plan and the orders."""
         unusable = self._pool.list_down() | self._healths.list_leaving()
-        inputs = _PlanInputs(self._in_force.revision, self._pool.list_holdings(), unusable, self._pool.list_silent())
+        inputs = _PlanInputs(
+            self._in_force.revision, self._pool.list_holdings(), unusable, self._pool.list_unresponsive()
+        )
         if inputs == self._settled_inputs:
             return
         plan = plan_holdings(self._in_force.view.configuration, inputs.reports, unusable, inputs.unresponsive)
@@ -92,7 +94,7 @@
 
     def _send(self, order: HoldOrder) -> None:
         link = self._pool[order.vm]
-        if link is None or link.holding.is_ordered:
+        if link is None or link.holding.has_pending_order:
             return
         link.order(Hold(self._tenure.fence, order.parts), lambda: self._tenure.is_sure(ORDER_TIMEOUT_S))
         self._metrics.orders.inc()
--- a/packages/node/src/vaneturn_node/placing/tenure.py
+++ b/packages/node/src/vaneturn_node/placing/tenure.py
@@ -21,10 +21,10 @@
 from vaneturn_node.clock import read_clock
 
 TENURE_KEY: Final = "vaneturn/placer"
-TERM_S: Final = 9.0  # seconds
-BEAT_INTERVAL_S: Final = 3.0  # seconds between two writes of the holder
-MAX_RETRY_DELAY_S: Final = 0.5  # seconds, full jitter
-IDLE_INTERVAL_S: Final = 1.0  # seconds between checks whether this node is a candidate
+TERM_S: Final = 9.0
+BEAT_INTERVAL_S: Final = 3.0  # between two writes of the holder
+MAX_RETRY_DELAY_S: Final = 0.5  # full jitter
+IDLE_INTERVAL_S: Final = 1.0  # between checks whether this node is a candidate
 CANDIDATES_PER_HALL: Final = 1  # nodes of each data hall that may take over
 
 logger = logging.getLogger(__name__)
--- a/packages/node/src/vaneturn_node/stages/cachemove.py
+++ b/packages/node/src/vaneturn_node/stages/cachemove.py
@@ -13,7 +13,7 @@
 from vaneturn_core.routing.recovery import LinkTable
 from vaneturn_node.clock import read_clock
 
-TIMEOUT: Final = 30.0  # seconds for each of export and import
+TRANSFER_TIMEOUT_S: Final = 30.0  # for each of export and import
 
 logger = logging.getLogger(__name__)
 
@@ -34,10 +34,12 @@
         """Move a session's cache; false if the export or the import failed."""
         try:
             started = read_clock()
-            exported = await self._client.get(_name_cache(old, session), timeout=TIMEOUT)
+            exported = await self._client.get(_make_cache_url(old, session), timeout=TRANSFER_TIMEOUT_S)
             exported.raise_for_status()
             fetched = read_clock()
-            imported = await self._client.put(_name_cache(new, session), content=exported.content, timeout=TIMEOUT)
+            imported = await self._client.put(
+                _make_cache_url(new, session), content=exported.content, timeout=TRANSFER_TIMEOUT_S
+            )
             imported.raise_for_status()
         except httpx.HTTPError as error:
             logger.info("cache not moved", extra={"old": old.vm, "new": new.vm, "cause": repr(error)})
@@ -48,7 +50,7 @@
         return True
 
 
-def _name_cache(server: Server, session: SessionId) -> str:
+def _make_cache_url(server: Server, session: SessionId) -> str:
     return f"http://{server.address}{CACHE_PATH}/{session}"
 
 
--- a/packages/node/src/vaneturn_node/stages/link.py
+++ b/packages/node/src/vaneturn_node/stages/link.py
@@ -31,16 +31,16 @@
 from vaneturn_node.clock import read_clock
 from vaneturn_node.metrics import Metrics
 from vaneturn_node.stages.holding import Holding
-from vaneturn_node.stages.steps import AwaitedStep, Lost, StepKey, StepResult, matches, name_step
+from vaneturn_node.stages.steps import AwaitedStep, Lost, StepKey, StepResult, compute_step_key, is_matching_reply
 from vaneturn_node.stages.window import StepWindow
 
-CONNECT_TIMEOUT: Final = 1.0  # seconds
-FIRST_BACKOFF: Final = 0.05  # seconds between attempts to connect, doubled up to the last, with jitter
-LAST_BACKOFF: Final = 2.0  # seconds, while few links are down
-DOWN_SHARE: Final = 0.25  # seconds of backoff for each link that is down: bounds the retries after loss of a data hall
-PING_INTERVAL: Final = 20.0  # seconds; detects dead idle servers, as a dead server in use is detected by its steps
-PING_TIMEOUT: Final = 5.0  # seconds
-MAX_FRAME: Final = 64 << 20  # bytes
+CONNECT_TIMEOUT_S: Final = 1.0
+MIN_BACKOFF_S: Final = 0.05  # between attempts to connect, doubled up to the maximum, with jitter
+MAX_BACKOFF_S: Final = 2.0  # while few links are down
+BACKOFF_PER_DOWN_LINK_S: Final = 0.25  # raises the maximum backoff, to bound retries after the loss of a data hall
+PING_INTERVAL_S: Final = 20.0  # detects dead idle servers, as a dead server in use is detected by its steps
+PING_TIMEOUT_S: Final = 5.0
+MAX_FRAME_BYTES: Final = 64 << 20
 
 logger = logging.getLogger(__name__)
 
@@ -113,7 +113,7 @@
     async def _run_in_window(self, step: Step, hop: Hop, timeout: float) -> StepResult:  # noqa: ASYNC109 # see above
         if not self.is_connected:
             return Lost(sent=False)
-        key = name_step(step)
+        key = compute_step_key(step)
         if key in self._awaited:
             raise AssertionError(f"step awaited twice: {key}")
         awaited = self._awaited[key] = AwaitedStep(step, hop, anyio.Event(), Lost(sent=True))
@@ -127,10 +127,10 @@
         finally:
             del self._awaited[key]
             health.in_progress -= 1
-        self._record(awaited.result, started, step.count)
+        self._record_result(awaited.result, started, step.count)
         return awaited.result
 
-    def _record(self, result: StepResult, started: float, positions: int) -> None:
+    def _record_result(self, result: StepResult, started: float, positions: int) -> None:
         self._metrics.steps.labels(type(result).__name__.lower()).inc()
         if isinstance(result, Lost):
             self._healths.record_failure(self.server.vm, started)
@@ -139,26 +139,26 @@
 
     async def run(self) -> None:
         """Keep the link connected until cancelled."""
-        backoff = FIRST_BACKOFF
+        backoff = MIN_BACKOFF_S
         while True:
             try:
                 uri = f"ws://{self.server.address}{LINK_PATH}"
                 async with connect(
                     uri,
-                    open_timeout=CONNECT_TIMEOUT,
-                    max_size=MAX_FRAME,
+                    open_timeout=CONNECT_TIMEOUT_S,
+                    max_size=MAX_FRAME_BYTES,
                     compression=None,
-                    ping_interval=PING_INTERVAL,
-                    ping_timeout=PING_TIMEOUT,
+                    ping_interval=PING_INTERVAL_S,
+                    ping_timeout=PING_TIMEOUT_S,
                 ) as connection:
-                    backoff = FIRST_BACKOFF
-                    await self._use(connection)
+                    backoff = MIN_BACKOFF_S
+                    await self._run_connection(connection)
             except* (OSError, TimeoutError, WebSocketException, msgspec.DecodeError) as errors:
                 logger.info("stage link down", extra={"server": self.server.vm, "cause": repr(errors.exceptions[0])})
             await anyio.sleep(random.uniform(backoff / 2, backoff))
-            backoff = min(max(LAST_BACKOFF, DOWN_SHARE * self._count_down()), backoff * 2)
+            backoff = min(max(MAX_BACKOFF_S, BACKOFF_PER_DOWN_LINK_S * self._count_down()), backoff * 2)
 
-    async def _use(self, connection: ClientConnection) -> None:
+    async def _run_connection(self, connection: ClientConnection) -> None:
         self._outgoing.clear()
         self.holding.forget_order()
         # A server that is still leaving announces it again right after the connection.
@@ -171,7 +171,7 @@
                 tasks.cancel_scope.cancel()
         finally:
             self._connected = anyio.Event()
-            self._lose_awaited()
+            self._end_awaited()
 
     async def _write(self, connection: ClientConnection) -> None:
         """Send all that was queued since the last frame as one frame."""
@@ -191,16 +191,16 @@
         async for frame in connection:
             data = frame if isinstance(frame, bytes) else frame.encode()
             for reply in REPLY_DECODER.decode(data):
-                if not self._take(reply):
+                if not self._dispatch(reply):
                     return  # protocol error: close the connection
 
-    def _take(self, reply: Reply) -> bool:
+    def _dispatch(self, reply: Reply) -> bool:
         """Dispatch a reply to its step; false if the server violated the protocol."""
         if isinstance(reply, Leaving):
             self._healths.mark_leaving(self.server.vm, LeavingSource.SERVER)
             return True
         if isinstance(reply, Holdings):
-            self.holding.note(reply)
+            self.holding.record_report(reply)
             self._on_holdings()
             return True
         rebuild = isinstance(reply, Done) and reply.rebuild
@@ -210,7 +210,7 @@
         if awaited is None or awaited.done.is_set():
             self._metrics.dropped.labels("late").inc()
             return True
-        if isinstance(reply, Done) and not matches(reply, awaited):
+        if isinstance(reply, Done) and not is_matching_reply(reply, awaited):
             self._metrics.dropped.labels("mismatch").inc()
             logger.error("reply does not match the work of its step", extra={"server": self.server.vm})
             return False
@@ -218,7 +218,7 @@
         awaited.done.set()
         return True
 
-    def _lose_awaited(self) -> None:
+    def _end_awaited(self) -> None:
         for awaited in self._awaited.values():
             awaited.done.set()
 
--- a/packages/node/src/vaneturn_node/stages/pool.py
+++ b/packages/node/src/vaneturn_node/stages/pool.py
@@ -25,7 +25,7 @@
         self._links: dict[VmId, StageLink] = {}
         self._scopes: dict[VmId, anyio.CancelScope] = {}
         self._listeners: list[Callable[[], None]] = []
-        self._has_holdings = anyio.Event()
+        self._holdings_reported = anyio.Event()
 
     def on_holdings(self, listener: Callable[[], None]) -> None:
         """Call the listener when an engine reports its holdings."""
@@ -43,14 +43,14 @@
         """List the servers whose link is not connected."""
         return frozenset(vm for vm, link in self._links.items() if not link.is_connected)
 
-    def list_silent(self) -> frozenset[VmId]:
+    def list_unresponsive(self) -> frozenset[VmId]:
         """List the servers that have not answered an order in time."""
-        return frozenset(vm for vm, link in self._links.items() if link.holding.is_silent)
+        return frozenset(vm for vm, link in self._links.items() if link.holding.is_unresponsive)
 
     def follow(self, configuration: Configuration) -> None:
         """Start and stop links after a change of configuration."""
-        named = {stage.vm for pipeline in configuration.pipelines for stage in pipeline.stages}
-        wanted = {server.vm: server for server in configuration.servers if server.vm in named}
+        used = {stage.vm for pipeline in configuration.pipelines for stage in pipeline.stages}
+        wanted = {server.vm: server for server in configuration.servers if server.vm in used}
         for vm in [vm for vm, link in self._links.items() if wanted.get(vm) != link.server]:
             self._scopes.pop(vm).cancel()
             del self._links[vm]
@@ -63,19 +63,19 @@
         scope = anyio.CancelScope()
         self._links[server.vm] = link
         self._scopes[server.vm] = scope
-        self._tasks.start_soon(_run_in, scope, link)
+        self._tasks.start_soon(_run_link, scope, link)
 
     async def wait_holdings(self) -> None:
         """Wait until an engine has reported its holdings, which shows that it accepts orders."""
-        await self._has_holdings.wait()
+        await self._holdings_reported.wait()
 
     def _notify(self) -> None:
-        self._has_holdings.set()
+        self._holdings_reported.set()
         for listener in self._listeners:
             listener()
 
 
-async def _run_in(scope: anyio.CancelScope, link: StageLink) -> None:
+async def _run_link(scope: anyio.CancelScope, link: StageLink) -> None:
     with scope:
         await link.run()
 
--- a/packages/node/src/vaneturn_node/stages/steps.py
+++ b/packages/node/src/vaneturn_node/stages/steps.py
@@ -33,15 +33,15 @@
     result: StepResult = Lost(sent=False)
 
 
-def name_step(step: Step) -> StepKey:
+def compute_step_key(step: Step) -> StepKey:
     """Compute the key of a step, which its reply states as well."""
     return (step.session, step.attempt, step.position, step.rebuild)
 
 
-def matches(reply: Done, awaited: AwaitedStep) -> bool:
+def is_matching_reply(reply: Done, awaited: AwaitedStep) -> bool:
     """Tell whether a reply states the positions and layers of the step."""
     step, hop = awaited.step, awaited.hop
     return reply.count == step.count and reply.first == hop.first and reply.end == hop.end
 
 
-__all__ = ["AwaitedStep", "Lost", "StepKey", "StepResult", "matches", "name_step"]
+__all__ = ["AwaitedStep", "Lost", "StepKey", "StepResult", "compute_step_key", "is_matching_reply"]
--- a/packages/node/src/vaneturn_node/stages/window.py
+++ b/packages/node/src/vaneturn_node/stages/window.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-SLACK: Final = 1.5  # factor over the window that keeps the server busy on average, since replies arrive unevenly
+SLACK_FACTOR: Final = 1.5  # factor over the window that keeps the server busy on average, since replies arrive unevenly
 
 
 class StepWindow:
@@ -20,42 +20,42 @@
     """
 
     def __init__(self) -> None:
-        self._expected = 0.0
+        self._expected_steps = 0.0
         self._in_flight = 0
         self._waiting: deque[anyio.Event] = deque()
 
     @property
     def size(self) -> int:
         """The maximum number of steps in flight."""
-        return max(1, math.ceil(self._expected * SLACK - 1e-9))
+        return max(1, math.ceil(self._expected_steps * SLACK_FACTOR - 1e-9))
 
-    def add(self, share: float) -> None:
+    def add_share(self, share: float) -> None:
         """Add the share of its time that an answer is expected to spend here; a negative share removes it."""
-        self._expected = max(0.0, self._expected + share)
-        self._let_through()
+        self._expected_steps = max(0.0, self._expected_steps + share)
+        self._admit_waiting()
 
     async def enter(self) -> None:
         """Wait for a place; call leave() to free it."""
         if self._in_flight < self.size and not self._waiting:
             self._in_flight += 1
             return
-        turn = anyio.Event()
-        self._waiting.append(turn)
+        granted = anyio.Event()
+        self._waiting.append(granted)
         try:
-            await turn.wait()
+            await granted.wait()
         except BaseException:
-            if turn.is_set():
+            if granted.is_set():
                 self.leave()
             else:
-                self._waiting.remove(turn)
+                self._waiting.remove(granted)
             raise
 
     def leave(self) -> None:
         """Free a place."""
         self._in_flight -= 1
-        self._let_through()
+        self._admit_waiting()
 
-    def _let_through(self) -> None:
+    def _admit_waiting(self) -> None:
         while self._waiting and self._in_flight < self.size:
             self._in_flight += 1
             self._waiting.popleft().set()
--- a/tests/node/test_holding.py
+++ b/tests/node/test_holding.py
@@ -6,10 +6,10 @@
 
 from vaneturn_core.engine.messages import Hold, Holdings
 from vaneturn_node.stages import holding as module
-from vaneturn_node.stages.holding import ANSWER_TIME, Holding
+from vaneturn_node.stages.holding import ANSWER_TIMEOUT_S, Holding
 
 ORDER = Hold(1, ())
-WORD = Holdings(1, (), (), ())
+REPORT = Holdings(1, (), (), ())
 
 
 @pytest.fixture
@@ -26,33 +26,35 @@
 def test_engine_is_silent_after_the_time_for_its_answer(clock: list[float]) -> None:
     holding = Holding()
     order(holding)
-    assert not holding.is_silent
-    clock[0] += ANSWER_TIME
-    assert holding.is_silent
+    assert not holding.is_unresponsive
+    clock[0] += ANSWER_TIMEOUT_S
+    assert holding.is_unresponsive
 
 
 def test_next_order_does_not_make_it_heard_again(clock: list[float]) -> None:
     holding = Holding()
     order(holding)
-    clock[0] += ANSWER_TIME
+    clock[0] += ANSWER_TIMEOUT_S
     order(holding)
-    assert holding.is_silent
+    assert holding.is_unresponsive
 
 
 def test_next_order_before_the_time_is_over_does_not_make_it_silent(clock: list[float]) -> None:
     holding = Holding()
     order(holding)
-    clock[0] += ANSWER_TIME / 2
+    clock[0] += ANSWER_TIMEOUT_S / 2
     order(holding)
-    assert not holding.is_silent
+    assert not holding.is_unresponsive
 
 
-@pytest.mark.parametrize("end", [lambda holding: holding.note(WORD), Holding.forget_order], ids=["report", "link"])
+@pytest.mark.parametrize(
+    "end", [lambda holding: holding.record_report(REPORT), Holding.forget_order], ids=["report", "link"]
+)
 def test_word_or_a_new_link_ends_it(clock: list[float], end: object) -> None:
     holding = Holding()
     order(holding)
-    clock[0] += ANSWER_TIME
+    clock[0] += ANSWER_TIMEOUT_S
     order(holding)
     assert callable(end)
     end(holding)
-    assert not holding.is_silent
+    assert not holding.is_unresponsive
--- a/tests/node/test_link.py
+++ b/tests/node/test_link.py
@@ -41,7 +41,7 @@
 
     server = Server(vm=HOP.vm, address=f"127.0.0.1:{port}", data_hall=DataHall("osborne"))
     link = StageLink(server, ServerHealths(), Metrics(), lambda: 0, lambda: None)
-    link.window.add(2)
+    link.window.add_share(2)
 
     async def run(step: Step) -> None:
         results[step.session] = await link.run_step(step, HOP, 0.5)
@@ -95,7 +95,7 @@
 
     server = Server(vm=HOP.vm, address=f"127.0.0.1:{port}", data_hall=DataHall("osborne"))
     link = StageLink(server, healths, Metrics(), lambda: 0, lambda: None)
-    link.window.add(steps)
+    link.window.add_share(steps)
     async with serve(answer, "127.0.0.1", port), anyio.create_task_group() as tasks:
         tasks.start_soon(link.run)
         await link.wait_connected()
