--- a/packages/node/src/vaneturn_node/answers/generation.py
+++ b/packages/node/src/vaneturn_node/answers/generation.py
@@ -15,7 +15,7 @@
 from vaneturn_core.outcomes import NotRun, Reason, Unknown
 from vaneturn_core.routing.hops import Hop, Route
 from vaneturn_core.routing.recovery import Method
-from vaneturn_node.answers.moving import CHECK_INTERVAL, Mover
+from vaneturn_node.answers.moving import CHECK_INTERVAL_S, Mover
 from vaneturn_node.answers.placement import Placement
 from vaneturn_node.answers.request import AnswerRequest, Piece, Yield
 from vaneturn_node.answers.resume import ResumePoint, count_generated, digest_prompt
@@ -24,11 +24,11 @@
 from vaneturn_node.metrics import Metrics
 from vaneturn_node.stages.steps import Lost
 
-CHUNK: Final = 256  # maximum positions of a prompt in one step
-ROUTE_RETRY: Final = 0.1  # seconds between two searches for a route while an answer has none
-FIRST_ROUTE_WAIT: Final = 2.0  # seconds that a new request waits for a route before it is refused
-LOST_AVOIDANCE: Final = 30.0  # seconds that an answer avoids a server that did not reply
-REFUSED_AVOIDANCE: Final = 1.0  # seconds that an answer avoids a server that refused a step
+MAX_CHUNK_POSITIONS: Final = 256  # of a prompt in one step
+ROUTE_RETRY_INTERVAL_S: Final = 0.1  # between two searches for a route while an answer has none
+FIRST_ROUTE_TIMEOUT_S: Final = 2.0  # for which a new request waits for a route before it is refused
+LOST_AVOIDANCE_S: Final = 30.0  # for which an answer avoids a server that did not reply
+REFUSED_AVOIDANCE_S: Final = 1.0  # for which an answer avoids a server that refused a step
 
 logger = logging.getLogger(__name__)
 
@@ -59,26 +59,26 @@
         self._held = 0  # positions that ran through every layer
         self._lacking: set[Hop] = set()  # hops of the route whose cache lacks the held positions
         self._route: Route | None = None
-        self._broken: tuple[Route, int] | None = None  # the last route and its failed hop, while there is no route
-        self._start_until = read_clock() + FIRST_ROUTE_WAIT
+        self._failed_route: tuple[Route, int] | None = None  # last route and its failed hop, while there is no route
+        self._first_route_deadline = read_clock() + FIRST_ROUTE_TIMEOUT_S
         self._avoided: dict[VmId, float] = {}  # server -> time of read_clock() until which it is avoided
-        self._lost_at: float | None = None
+        self._recovery_started_at: float | None = None
         self._method = Method.REBUILD
-        self._looked_at = read_clock()
+        self._checked_at = read_clock()
         self.routes: list[str] = []  # every route so far, for operators
         self.recoveries = 0
-        self._produced = 0
+        self._generated = 0
         if request.resumed is not None:
-            self._go_on_from(request.resumed)
+            self._resume_at(request.resumed)
 
-    def _go_on_from(self, point: ResumePoint) -> None:
+    def _resume_at(self, point: ResumePoint) -> None:
         """Resume an answer of another node; a stage that lost its cache refuses the next step and is rebuilt."""
         self._tokens += point.tokens
-        self._produced = count_generated(point)
+        self._generated = count_generated(point)
         self._held = count_tokens(self._tokens) - 1
         self._run.attempt = point.first_attempt
         self._run.may_have_run = True
-        self._take_route(point.make_route(self._request.pipeline.layers))
+        self._switch_route(point.make_route(self._request.pipeline.layers))
         self._lacking.clear()
 
     def describe_point(self, *, is_finished: bool) -> ResumePoint:
@@ -106,7 +106,7 @@
     async def run(self) -> AsyncGenerator[Yield, None]:
         """Yield each token once and in order; after a failure yield the outcome last."""
         try:
-            while self._produced < self._request.max_tokens:
+            while self._generated < self._request.max_tokens:
                 result = await self._advance()
                 if not isinstance(result, Done):
                     yield result
@@ -122,10 +122,10 @@
             raise AssertionError(f"token out of order after position {reply.position}")
         position = count_tokens(self._tokens)
         self._tokens += encode_token(reply.token)
-        self._produced += 1
+        self._generated += 1
         self._metrics.tokens.inc()
-        self._note_recovery()
-        return Piece(position, reply.token, reply.text, last=reply.last or self._produced == self._request.max_tokens)
+        self._record_recovery()
+        return Piece(position, reply.token, reply.text, last=reply.last or self._generated == self._request.max_tokens)
 
     async def _advance(self) -> Done | NotRun | Unknown:
         """Run all positions that are not held yet; the last reply contains the next token."""
@@ -139,22 +139,22 @@
             if isinstance(result, Done):
                 return result
             if _is_superseded(result.cause):
-                self._run.leave_to_successor()
+                self._run.keep_caches()
                 return Unknown(Reason.SUPERSEDED)
             self._replace(result)
 
     async def _find_route(self) -> bool:
-        """Wait for a route: for FIRST_ROUTE_WAIT before the first step, until the deadline afterwards."""
-        until = self._request.deadline if self._run.may_have_run else self._start_until
+        """Wait for a route: for FIRST_ROUTE_TIMEOUT_S before the first step, until the deadline afterwards."""
+        until = self._request.deadline if self._run.may_have_run else self._first_route_deadline
         while read_clock() < until:
             if self._route is not None:
                 return True
-            if self._produced == 0:
-                self._settle_version()
-            self._take_route(self._choose_route())
+            if self._generated == 0:
+                self._choose_version()
+            self._switch_route(self._choose_route())
             if self._route is None:
                 self._avoided.clear()
-                await anyio.sleep(ROUTE_RETRY)
+                await anyio.sleep(ROUTE_RETRY_INTERVAL_S)
         return False
 
     def _choose_route(self) -> Route | None:
@@ -162,13 +162,13 @@
 
         The other hops of the broken route are kept as their servers may accept no new session of this version.
         """
-        request, avoided = self._request, self._list_avoided()
-        if self._broken is not None:
-            route, index = self._broken
+        request, avoided = self._request, self._list_avoided_servers()
+        if self._failed_route is not None:
+            route, index = self._failed_route
             return self._placement.replace(request.pipeline, route, index, request.affinity, avoided)
         return self._placement.choose(request.pipeline, request.affinity, avoided)
 
-    def _settle_version(self) -> None:
+    def _choose_version(self) -> None:
         """Choose the version to serve; called only before the first token, after which the version is fixed.
 
         Until then servers that the answer has not reached yet may drop the version; steps that ran are abandoned.
@@ -176,32 +176,32 @@
         pipeline = self._placement.choose_version(self._request.pipeline, self._request.affinity)
         if pipeline.version != self._request.pipeline.version:
             self._run.close()
-            self._broken = None
+            self._failed_route = None
         self._request = self._run.request = replace(self._request, pipeline=pipeline)
 
     async def _move_if_better(self) -> None:
         """Move away from a server that is leaving or has become slow; keep the route if no other is better."""
         route = self._route
-        if route is None or self._lacking or read_clock() < self._looked_at + CHECK_INTERVAL:
+        if route is None or self._lacking or read_clock() < self._checked_at + CHECK_INTERVAL_S:
             return
-        self._looked_at = read_clock()
-        suggestion = self._mover.suggest(route)
+        self._checked_at = read_clock()
+        suggestion = self._mover.suggest_move(route)
         if suggestion is None:
             return
         request = self._request
-        avoided = {*self._list_avoided(), route.hops[suggestion.index].vm}
+        avoided = {*self._list_avoided_servers(), route.hops[suggestion.index].vm}
         new = self._placement.replace(request.pipeline, route, suggestion.index, request.affinity, avoided)
-        if new is None or not self._mover.is_worth_it(suggestion, route, new):
+        if new is None or not self._mover.is_improvement(suggestion, route, new):
             return
-        self._lost_at = read_clock()
+        self._recovery_started_at = read_clock()
         self._run.attempt += 1
         self._method = await self._mover.move_cache(request, route, new, suggestion.index, self._held)
-        self._take_route(new)
+        self._switch_route(new)
         if self._method is Method.IMPORT:
             self._lacking.clear()
         for hop in route.hops:
             if hop not in new.hops:
-                self._run.forget(hop.vm)
+                self._run.close_at(hop.vm)
 
     async def _run_new(self) -> Done | HopFailure:
         hops = self._route.hops if self._route else ()
@@ -232,7 +232,7 @@
         return None
 
     async def _run_chunk(self, hops: Sequence[Hop], position: int, end: int, *, rebuild: bool) -> Done | HopFailure:
-        count = min(CHUNK, end - position)
+        count = min(MAX_CHUNK_POSITIONS, end - position)
         inputs = bytes(self._tokens[position * TOKEN_BYTES : (position + count) * TOKEN_BYTES])
         request = self._request
         step = Step(request.session, self._run.attempt, position, count, inputs, request.seed, rebuild)
@@ -243,7 +243,7 @@
         route = self._route
         if route is None:
             raise AssertionError("no route to replace")
-        self._lost_at = self._lost_at or read_clock()
+        self._recovery_started_at = self._recovery_started_at or read_clock()
         self._method = Method.REBUILD
         self._run.attempt += 1
         self.recoveries += 1
@@ -255,31 +255,31 @@
         if _is_cache_lost(failure.cause):
             self._lacking.add(hop)
             return
-        avoidance = LOST_AVOIDANCE if isinstance(failure.cause, Lost) else REFUSED_AVOIDANCE
+        avoidance = LOST_AVOIDANCE_S if isinstance(failure.cause, Lost) else REFUSED_AVOIDANCE_S
         self._avoided[hop.vm] = read_clock() + avoidance
-        self._broken = (route, failure.index)
-        self._take_route(self._choose_route())
+        self._failed_route = (route, failure.index)
+        self._switch_route(self._choose_route())
 
-    def _take_route(self, route: Route | None) -> None:
+    def _switch_route(self, route: Route | None) -> None:
         """Switch to another route; its hops that are not in the current route lack all held positions."""
         held = set(self._route.hops) - self._lacking if self._route else set()
         self._route = route
-        self._run.follow(route)
+        self._run.switch_route(route)
         if route is None:
             return
-        self._broken = None
+        self._failed_route = None
         self._lacking = set(route.hops) - held
         self.routes.append(str(route))
 
-    def _list_avoided(self) -> set[VmId]:
+    def _list_avoided_servers(self) -> set[VmId]:
         now = read_clock()
         return {vm for vm, until in self._avoided.items() if until > now}
 
-    def _note_recovery(self) -> None:
-        if self._lost_at is None:
+    def _record_recovery(self) -> None:
+        if self._recovery_started_at is None:
             return
-        self._metrics.recovery.labels(self._method.value).observe(read_clock() - self._lost_at)
-        self._lost_at = None
+        self._metrics.recovery.labels(self._method.value).observe(read_clock() - self._recovery_started_at)
+        self._recovery_started_at = None
 
     def _give_up(self, reason: Reason) -> NotRun | Unknown:
         return Unknown(reason) if self._run.may_have_run else NotRun(reason)
@@ -294,4 +294,4 @@
     return isinstance(cause, Refused) and cause.refusal in {Refusal.NO_SESSION, Refusal.POSITION}
 
 
-__all__ = ["CHUNK", "Generation", "GenerationState"]
+__all__ = ["MAX_CHUNK_POSITIONS", "Generation", "GenerationState"]
--- a/packages/node/src/vaneturn_node/answers/moving.py
+++ b/packages/node/src/vaneturn_node/answers/moving.py
@@ -17,16 +17,16 @@
 from vaneturn_node.clock import read_clock
 from vaneturn_node.stages.cachemove import CacheMover
 
-CHECK_INTERVAL: Final = 0.25  # seconds between two checks of the hops of one answer
+CHECK_INTERVAL_S: Final = 0.25  # between two checks of the hops of one answer
 SLOW_RATIO: Final = 5.0  # a hop is moved if its latency exceeds its best latency by this factor
-SLOW_FLOOR: Final = 0.03  # seconds; a step with a lower latency never counts as slow
-GAIN: Final = 3.0  # factor by which the new server must be expected to be faster
-GUESSED_PREFILL_RATIO: Final = 10.0  # rate of prompt positions to rate of generated tokens, until it is measured
+MIN_SLOW_LATENCY_S: Final = 0.03  # a step with a lower latency never counts as slow
+MIN_SPEEDUP: Final = 3.0  # factor by which the new server must be expected to be faster
+DEFAULT_PREFILL_RATIO: Final = 10.0  # rate of prompt positions to rate of generated tokens, until it is measured
 
 logger = logging.getLogger(__name__)
 
 
-class Cause(Enum):
+class MoveCause(Enum):
     """The reason for moving a hop."""
 
     LEAVING = "leaving"
@@ -34,11 +34,11 @@
 
 
 @dataclass(frozen=True)
-class Suggestion:
+class MoveSuggestion:
     """A hop that should move."""
 
     index: int
-    cause: Cause
+    cause: MoveCause
 
 
 class Mover:
@@ -51,23 +51,23 @@
         self._caches = caches
         self._find_server = find_server
 
-    def suggest(self, route: Route) -> Suggestion | None:
+    def suggest_move(self, route: Route) -> MoveSuggestion | None:
         """Find the first hop that should move."""
         for index, hop in enumerate(route.hops):
             health = self._healths[hop.vm]
             if health.leaving:
-                return Suggestion(index, Cause.LEAVING)
-            if health.latency > max(SLOW_FLOOR, SLOW_RATIO * health.best_latency):
-                return Suggestion(index, Cause.SLOW)
+                return MoveSuggestion(index, MoveCause.LEAVING)
+            if health.latency > max(MIN_SLOW_LATENCY_S, SLOW_RATIO * health.best_latency):
+                return MoveSuggestion(index, MoveCause.SLOW)
         return None
 
-    def is_worth_it(self, suggestion: Suggestion, old: Route, new: Route) -> bool:
+    def is_improvement(self, suggestion: MoveSuggestion, old: Route, new: Route) -> bool:
         """Tell whether the new route is enough of a gain; it always is if a server is leaving."""
-        if suggestion.cause is Cause.LEAVING:
+        if suggestion.cause is MoveCause.LEAVING:
             return True
-        slow = self._healths.estimate_latency(old.hops[suggestion.index].vm)
+        slow_latency = self._healths.estimate_latency(old.hops[suggestion.index].vm)
         added = [hop for hop in new.hops if hop not in old.hops]
-        return GAIN * sum(self._healths.estimate_latency(hop.vm) for hop in added) < slow
+        return MIN_SPEEDUP * sum(self._healths.estimate_latency(hop.vm) for hop in added) < slow_latency
 
     async def move_cache(self, request: AnswerRequest, old: Route, new: Route, index: int, positions: int) -> Method:
         """Transfer the cache of the old hop to the new one if that is expected to be faster than a rebuild.
@@ -111,7 +111,7 @@
         return method
 
     def _list_position_seconds(self, hops: Sequence[Hop]) -> list[float]:
-        return [self._healths[hop.vm].position_seconds or 1 / (GUESSED_PREFILL_RATIO * hop.rate) for hop in hops]
+        return [self._healths[hop.vm].position_seconds or 1 / (DEFAULT_PREFILL_RATIO * hop.rate) for hop in hops]
 
 
-__all__ = ["CHECK_INTERVAL", "Mover", "Suggestion"]
+__all__ = ["CHECK_INTERVAL_S", "MoveSuggestion", "Mover"]
--- a/packages/node/src/vaneturn_node/answers/placement.py
+++ b/packages/node/src/vaneturn_node/answers/placement.py
@@ -17,7 +17,7 @@
 from vaneturn_node.metrics import Metrics
 from vaneturn_node.stages.pool import LinkPool
 
-REFRESH: Final = 0.2  # minimum seconds between two computations due to changed holdings of engines
+REFRESH_INTERVAL_S: Final = 0.2  # minimum time between two computations due to changed holdings of engines
 
 
 class Placement:
@@ -30,7 +30,7 @@
         self._configuration = Configuration()
         self._flows: dict[tuple[PipelineName, str], tuple[Pipeline, Flow]] = {}  # by name and version
         healths.on_leaving(self._compute_flows)
-        pool.on_holdings(self._note_holdings)
+        pool.on_holdings(self._mark_stale)
         self._is_stale = False
         self._computed_at = float("-inf")
 
@@ -43,8 +43,8 @@
         """Choose a route over servers that are connected, not leaving and, if possible, not ejected."""
         flow = self._find_flow(pipeline)
         barred = self._list_barred(avoided)
-        careful = barred | self._healths.list_ejected()
-        route = choose_route(flow, pipeline.layers, affinity, self._healths, careful)
+        barred_or_ejected = barred | self._healths.list_ejected()
+        route = choose_route(flow, pipeline.layers, affinity, self._healths, barred_or_ejected)
         return route or choose_route(flow, pipeline.layers, affinity, self._healths, barred)
 
     def replace(
@@ -57,14 +57,14 @@
         lost = route.hops[index]
         flow = self._find_flow(pipeline)
         barred = self._list_barred(avoided)
-        part = _restrict(flow, lost.first, lost.end)
+        inner_flow = _restrict(flow, lost.first, lost.end)
         for excluded in (barred | self._healths.list_ejected(), barred):
-            between = choose_route(part, lost.end - lost.first, affinity, self._healths, excluded)
-            if between is not None:
-                moved = tuple(
-                    Hop(hop.vm, hop.first + lost.first, hop.end + lost.first, hop.rate) for hop in between.hops
+            replacement = choose_route(inner_flow, lost.end - lost.first, affinity, self._healths, excluded)
+            if replacement is not None:
+                shifted = tuple(
+                    Hop(hop.vm, hop.first + lost.first, hop.end + lost.first, hop.rate) for hop in replacement.hops
                 )
-                return Route(route.layers, (*route.hops[:index], *moved, *route.hops[index + 1 :]))
+                return Route(route.layers, (*route.hops[:index], *shifted, *route.hops[index + 1 :]))
         return self.choose(pipeline, affinity, avoided)
 
     def choose_version(self, pipeline: Pipeline, affinity: str) -> Pipeline:
@@ -88,12 +88,12 @@
             bounds[name] = max(bounds.get(name, 0.0), flow.bound)
         return bounds
 
-    def _note_holdings(self) -> None:
+    def _mark_stale(self) -> None:
         self._is_stale = True
 
     def _refresh(self) -> None:
         """Recompute the flows if holdings of engines changed; a burst of changes is handled at once."""
-        if self._is_stale and read_clock() >= self._computed_at + REFRESH:
+        if self._is_stale and read_clock() >= self._computed_at + REFRESH_INTERVAL_S:
             self._compute_flows()
 
     def _list_barred(self, avoided: Collection[VmId]) -> set[VmId]:
@@ -128,7 +128,7 @@
 
 def _restrict(flow: Flow, first: int, end: int) -> Flow:
     """Restrict a flow to hops within [first, end), with layers renumbered from 0."""
-    inside = {
+    inner_hops = {
         boundary - first: {
             Hop(hop.vm, hop.first - first, hop.end - first, hop.rate): weight
             for hop, weight in starting.items()
@@ -137,7 +137,7 @@
         for boundary, starting in flow.hops.items()
         if first <= boundary < end
     }
-    return Flow(flow.bound, inside)
+    return Flow(flow.bound, inner_hops)
 
 
 __all__ = ["Placement"]
--- a/packages/node/src/vaneturn_node/answers/resume.py
+++ b/packages/node/src/vaneturn_node/answers/resume.py
@@ -22,7 +22,7 @@
 from vaneturn_node.peers.seal import Sealer
 
 MAX_RESUMABLE: Final = 4096  # generated tokens; event ids of a longer answer contain only its position
-ATTEMPTS_OF_A_RESUME: Final = 1 << 16  # attempts reserved for each resume: new ones exceed any that the lost node used
+ATTEMPTS_PER_RESUME: Final = 1 << 16  # attempts reserved for each resume: new ones exceed any that the lost node used
 
 
 class ResumePoint(Struct, frozen=True, array_like=True):
@@ -48,7 +48,7 @@
     @property
     def first_attempt(self) -> int:
         """The first attempt of the node that resumes the answer."""
-        return (self.resumes + 1) * ATTEMPTS_OF_A_RESUME
+        return (self.resumes + 1) * ATTEMPTS_PER_RESUME
 
 
 def digest_prompt(prompt: bytes) -> int:
--- a/packages/node/src/vaneturn_node/answers/stagerun.py
+++ b/packages/node/src/vaneturn_node/answers/stagerun.py
@@ -33,9 +33,9 @@
         self._pool = pool
         self._healths = healths
         self._call_timeout = call_timeout
-        self._opened: set[tuple[VmId, int]] = set()
-        self._used: set[VmId] = set()
-        self._expected: list[tuple[StageLink, float]] = []  # links of the route and their shares
+        self._opened_attempts: set[tuple[VmId, int]] = set()
+        self._used_servers: set[VmId] = set()
+        self._window_shares: list[tuple[StageLink, float]] = []  # links of the route and their shares
         self.attempt = 0
         self.may_have_run = False
 
@@ -43,25 +43,25 @@
         """Run one step on each hop in order, with the outputs of each hop as the inputs of the next."""
         inputs = step.inputs
         reply: Done | None = None
-        ran: list[Hop] = []
+        ran_hops: list[Hop] = []
         for index, hop in enumerate(hops):
             result = await self._run_hop(hop, step, inputs)
             if not isinstance(result, Done):
                 return HopFailure(index, result)
-            ran.append(Hop(hop.vm, result.first, result.end))
+            ran_hops.append(Hop(hop.vm, result.first, result.end))
             reply, inputs = result, result.outputs
         if reply is None:
             raise AssertionError("a step needs a hop")
-        assert_tiling(ran, hops[-1].end)
+        assert_tiling(ran_hops, hops[-1].end)
         return reply
 
     async def _run_hop(self, hop: Hop, step: Step, inputs: bytes) -> Done | Refused | Lost:
         link = self._pool[hop.vm]
         if link is None or not link.is_connected:
             return Lost(sent=False)
-        if (hop.vm, self.attempt) not in self._opened:
-            self._opened.add((hop.vm, self.attempt))
-            self._used.add(hop.vm)
+        if (hop.vm, self.attempt) not in self._opened_attempts:
+            self._opened_attempts.add((hop.vm, self.attempt))
+            self._used_servers.add(hop.vm)
             link.send(self._describe_session(hop))
         own = Step(step.session, self.attempt, step.position, step.count, inputs, step.seed, step.rebuild)
         shortest = MIN_STEP_TIMEOUT[self.request.pipeline.preference]
@@ -85,29 +85,29 @@
             request.priority,
         )
 
-    def follow(self, route: Route | None) -> None:
+    def switch_route(self, route: Route | None) -> None:
         """Move the answer's shares of step windows from the links of the previous route to those of a new one."""
-        for expected_link, share in self._expected:
+        for expected_link, share in self._window_shares:
             expected_link.window.add_share(-share)
         hops = route.hops if route else ()
         links = [self._pool[hop.vm] for hop in hops]
-        self._expected = [(link, 1 / len(hops)) for link in links if link is not None]
-        for expected_link, share in self._expected:
+        self._window_shares = [(link, 1 / len(hops)) for link in links if link is not None]
+        for expected_link, share in self._window_shares:
             expected_link.window.add_share(share)
 
-    def leave_to_successor(self) -> None:
+    def keep_caches(self) -> None:
         """Keep the caches when closing, as another node has resumed the session."""
-        self._used.clear()
+        self._used_servers.clear()
 
     def close(self) -> None:
         """Close the session at every server that was used."""
-        self.follow(None)
-        for vm in self._used:
-            self.forget(vm)
-        self._used.clear()
-        self._opened.clear()
+        self.switch_route(None)
+        for vm in self._used_servers:
+            self.close_at(vm)
+        self._used_servers.clear()
+        self._opened_attempts.clear()
 
-    def forget(self, vm: VmId) -> None:
+    def close_at(self, vm: VmId) -> None:
         """Close the session at one server."""
         link = self._pool[vm]
         if link is not None:
--- a/tests/rig/mechanisms.py
+++ b/tests/rig/mechanisms.py
@@ -37,7 +37,7 @@
                 "return reply.count == step.count and reply.first == hop.first and reply.end == hop.end",
                 "return reply.count == step.count or hop is None",
             ),
-            Edit(f"{NODE}/answers/stagerun.py", "assert_tiling(ran, hops[-1].end)", "pass"),
+            Edit(f"{NODE}/answers/stagerun.py", "assert_tiling(ran_hops, hops[-1].end)", "pass"),
         ),
     ),
     Proof(
@@ -203,7 +203,7 @@
     Proof(
         "new answers get a version that is held",
         "tests/system/test_placing.py::test_rollout_without_room_for_two_versions_cuts_nothing",
-        (Edit(f"{NODE}/answers/generation.py", "                self._settle_version()\n", "                pass\n"),),
+        (Edit(f"{NODE}/answers/generation.py", "                self._choose_version()\n", "                pass\n"),),
     ),
     Proof(
         "an answer may change its version before its first token",
@@ -211,7 +211,7 @@
         (
             Edit(
                 f"{NODE}/answers/generation.py",
-                "            if self._produced == 0:\n",
+                "            if self._generated == 0:\n",
                 "            if not self._run.may_have_run:\n",
             ),
         ),
@@ -253,7 +253,7 @@
         "tests/system/test_resume.py::test_answer_goes_on_at_another_node",
         (
             Edit(
-                f"{NODE}/answers/generation.py", "            self._go_on_from(request.resumed)\n", "            pass\n"
+                f"{NODE}/answers/generation.py", "            self._resume_at(request.resumed)\n", "            pass\n"
             ),
         ),
     ),
