--- a/packages/node/src/vaneturn_node/claims/bykey.py
+++ b/packages/node/src/vaneturn_node/claims/bykey.py
@@ -42,7 +42,7 @@
 
     async def claim(self, customer: CustomerName, repeat_key: RepeatKey) -> Claim | NotRun | Unknown:
         """Claim a request, or return why it is not run."""
-        key = name_claim(customer, repeat_key)
+        key = compute_claim_key(customer, repeat_key)
         entry = await self._store.read(key)
         if isinstance(entry, Unavailable):
             return NotRun(Reason.CLAIM_STORE_DOWN)
@@ -60,7 +60,7 @@
         self, customer: CustomerName, repeat_key: RepeatKey, record: ClaimRecord
     ) -> Claim | NotRun | Unknown:
         """Find out whether the claim was won, after the answer to its write was lost."""
-        key = name_claim(customer, repeat_key)
+        key = compute_claim_key(customer, repeat_key)
         entry = await self._store.read(key)
         if isinstance(entry, Unavailable):
             # The request is not run, but the claim may be stored: a retry with this key may be refused as claimed.
@@ -76,11 +76,11 @@
         record = ClaimRecord(claim.id, self._node, ClaimState.RELEASED)
         if claim.version is None:
             raise AssertionError("a claim by key has a version")
-        key = name_claim(claim.customer, claim.repeat_key)
+        key = compute_claim_key(claim.customer, claim.repeat_key)
         await self._store.write(key, msgspec.json.encode(record), claim.version)
 
 
-def name_claim(customer: CustomerName, repeat_key: RepeatKey) -> str:
+def compute_claim_key(customer: CustomerName, repeat_key: RepeatKey) -> str:
     """Compute the key of a claim; the repeat key itself does not appear in it."""
     digest = hashlib.sha256(f"{customer}\0{repeat_key}".encode()).hexdigest()
     return CLAIM_KEY_PREFIX + digest[:32]
@@ -92,4 +92,4 @@
     return msgspec.json.decode(entry.value, type=ClaimRecord).state is ClaimState.HELD
 
 
-__all__ = ["ClaimsByKey", "name_claim"]
+__all__ = ["ClaimsByKey", "compute_claim_key"]
--- a/packages/node/src/vaneturn_node/claims/ownership.py
+++ b/packages/node/src/vaneturn_node/claims/ownership.py
@@ -15,13 +15,13 @@
 from vaneturn_core.identifiers import CustomerName, RepeatKey, StoreVersion
 from vaneturn_core.membership.table import MemberTable
 from vaneturn_core.ports import Conflict, Entry, KeyValueService, Unavailable
-from vaneturn_node.claims.unmet import AskWho, UnmetOwners, ask_nobody
+from vaneturn_node.claims.unmet import AskMember, UnmetOwners, ask_no_member
 from vaneturn_node.clock import read_clock
 from vaneturn_node.peers.messages import HandOver
 from vaneturn_node.peers.requests import PeerClient
 
 CONFIRM_INTERVAL_S: Final = 2.0  # the duration of an owner's watch of the map
-CONFIRM_BOUND: Final = 6.0  # seconds without a confirmation of the map after which an owner accepts no claims
+CONFIRM_TIMEOUT_S: Final = 6.0  # without a confirmation of the map, after which an owner accepts no claims
 MAX_RETRY_DELAY_S: Final = 0.3  # full jitter
 HANDOVER_TRY_TIMEOUT_S: Final = 1.0  # for one try to hand a slot over to its next owner
 HANDOVER_TRIES: Final = 20
@@ -39,10 +39,10 @@
 class SlotOwnership:
     """Confirms the map with the key-value service, and decides claims for own slots while the map is confirmed."""
 
-    def __init__(self, store: KeyValueService, table: MemberTable, introduce: AskWho = ask_nobody) -> None:
+    def __init__(self, store: KeyValueService, table: MemberTable, ask_member: AskMember = ask_no_member) -> None:
         self._store = store
         self._table = table
-        self._unmet = UnmetOwners(table, introduce)
+        self._unmet = UnmetOwners(table, ask_member)
         self._version = StoreVersion(-1)  # differs from any version of a key, so that the first watch returns at once
         self._confirmed_at = float("-inf")  # when the call was sent whose answer last confirmed the map
         self._accept_from: dict[int, float] = {}  # own slot -> time of read_clock() from which claims are accepted
@@ -99,8 +99,8 @@
             del self._ledgers[slot]
         for slot in own - self._accept_from.keys():
             # The previous owner may accept claims until its last confirmation lapses.
-            self._accept_from[slot] = read_clock() + CONFIRM_BOUND
-            self._ledgers[slot] = SlotLedger(taken_at=time.time() + CONFIRM_BOUND)
+            self._accept_from[slot] = read_clock() + CONFIRM_TIMEOUT_S
+            self._ledgers[slot] = SlotLedger(taken_at=time.time() + CONFIRM_TIMEOUT_S)
 
     def _drop_slots(self) -> None:
         """Forget all slots: after a revert of the map, claims decided since then are unknown."""
@@ -120,7 +120,7 @@
         """Compute the next map, if one is needed."""
         while True:
             owners = self.map.owners
-            possibly_alive = await self._unmet.find_present(owners)
+            possibly_alive = await self._unmet.find_possibly_alive(owners)
             if owners == self.map.owners:  # a newer map may have arrived meanwhile
                 return reassign_slots(self.map, self._table.list_active(), possibly_alive)
 
@@ -205,7 +205,7 @@
     def _find_ledger(self, slot: int) -> SlotLedger | None:
         """Find the ledger of an own slot, if this node may accept claims for the slot now."""
         clock = read_clock()
-        if self._is_stopping or clock >= self._confirmed_at + CONFIRM_BOUND:
+        if self._is_stopping or clock >= self._confirmed_at + CONFIRM_TIMEOUT_S:
             return None
         if clock < self._accept_from.get(slot, float("inf")):
             return None
@@ -218,4 +218,4 @@
             ledger.release(customer, repeat_key, claim)
 
 
-__all__ = ["CONFIRM_BOUND", "SlotOwnership"]
+__all__ = ["CONFIRM_TIMEOUT_S", "SlotOwnership"]
--- a/packages/node/src/vaneturn_node/claims/unmet.py
+++ b/packages/node/src/vaneturn_node/claims/unmet.py
@@ -14,14 +14,14 @@
 from vaneturn_core.membership.table import MemberTable
 from vaneturn_node.clock import read_clock
 
-AskWho = Callable[[str], Awaitable[Member | None]]  # asks which member has a peer address; None without an answer
+AskMember = Callable[[str], Awaitable[Member | None]]  # asks which member has a peer address; None without an answer
 
 SETTLE_TIME_S: Final = 2.0  # a node whose write to the meeting point met a conflict retries after 1 s
 
 logger = logging.getLogger(__name__)
 
 
-async def ask_nobody(_address: str) -> None:
+async def ask_no_member(_address: str) -> None:
     """Return no answer, like an unreachable node."""
 
 
@@ -33,9 +33,9 @@
     owner may accept them. Nodes that start together would do this to each other in turn.
     """
 
-    def __init__(self, table: MemberTable, introduce: AskWho) -> None:
+    def __init__(self, table: MemberTable, ask_member: AskMember) -> None:
         self._table = table
-        self._introduce = introduce
+        self._ask_member = ask_member
         self._unmet_since: dict[NodeId, float] = {}
         self._known: frozenset[NodeId] = frozenset()
         self._known_since = float("-inf")
@@ -47,7 +47,7 @@
             self._known, self._known_since = known, read_clock()
         return read_clock() - self._known_since >= SETTLE_TIME_S
 
-    async def find_present(self, owners: Iterable[SlotOwner]) -> frozenset[NodeId]:
+    async def find_possibly_alive(self, owners: Iterable[SlotOwner]) -> frozenset[NodeId]:
         """Ask the owners that are not in the member table; return those that may be alive although still unknown."""
         unmet = [owner for owner in owners if not self._table.is_known(owner.node)]
         self._unmet_since = {owner.node: self._unmet_since.get(owner.node, read_clock()) for owner in unmet}
@@ -59,7 +59,7 @@
 
     async def _ask_owner(self, owner: SlotOwner, since: float, possibly_alive: set[NodeId]) -> None:
         """Ask at an owner's address; it is gone if another node answers, or none for the suspicion time."""
-        member = await self._introduce(owner.address)
+        member = await self._ask_member(owner.address)
         if member is not None:
             self._table.merge([member])
         if member is None and read_clock() - since < self._table.compute_suspicion_time():
@@ -69,4 +69,4 @@
         logger.info("owner of slots asked", extra=extra)
 
 
-__all__ = ["AskWho", "UnmetOwners", "ask_nobody"]
+__all__ = ["AskMember", "UnmetOwners", "ask_no_member"]
--- a/tests/node/test_ownership.py
+++ b/tests/node/test_ownership.py
@@ -101,12 +101,12 @@
 
 async def take_slots(owners: dict[str, SlotOwnership], monkeypatch: pytest.MonkeyPatch) -> None:
     """Let every owner accept claims; a slot that is reassigned later without a handover accepts none for a minute."""
-    monkeypatch.setattr(module, "CONFIRM_BOUND", 0.2)
+    monkeypatch.setattr(module, "CONFIRM_TIMEOUT_S", 0.2)
     monkeypatch.setattr("vaneturn_core.claims.ledger.CLOCK_MARGIN_S", 0.0)
     for owner in owners.values():
         assert await owner.refresh(0.0)
-    await anyio.sleep(module.CONFIRM_BOUND + 0.05)
-    monkeypatch.setattr(module, "CONFIRM_BOUND", 60.0)
+    await anyio.sleep(module.CONFIRM_TIMEOUT_S + 0.05)
+    monkeypatch.setattr(module, "CONFIRM_TIMEOUT_S", 60.0)
     for owner in owners.values():
         assert await owner.refresh(0.0)
 
@@ -206,7 +206,7 @@
     """
     monkeypatch.setattr(module, "IDLE_INTERVAL_S", 0.05)
     monkeypatch.setattr(module, "CONFIRM_INTERVAL_S", 0.05)
-    monkeypatch.setattr(module, "CONFIRM_BOUND", 0.2)
+    monkeypatch.setattr(module, "CONFIRM_TIMEOUT_S", 0.2)
     monkeypatch.setattr("vaneturn_core.claims.ledger.CLOCK_MARGIN_S", 0.0)
     store = FakeStore()
     members = [make_member(index) for index in range(3)]
--- a/tests/node/test_unmet.py
+++ b/tests/node/test_unmet.py
@@ -33,7 +33,7 @@
         self.members = {member.address: member for member in members}
         self.asked: list[str] = []
 
-    async def introduce(self, address: str) -> Member | None:
+    async def ask_member(self, address: str) -> Member | None:
         self.asked.append(address)
         await anyio.lowlevel.checkpoint()
         return self.members.get(address)
@@ -52,12 +52,12 @@
 
 def make_unmet(network: Network, clock: Clock) -> tuple[UnmetOwners, MemberTable]:
     table = MemberTable(make_member(0), Random(7), lambda: clock.now)
-    return UnmetOwners(table, network.introduce), table
+    return UnmetOwners(table, network.ask_member), table
 
 
 async def test_owner_that_answers_is_met(clock: Clock) -> None:
     unmet, table = make_unmet(Network(make_member(1)), clock)
-    await unmet.find_present([OWNER])
+    await unmet.find_possibly_alive([OWNER])
     assert table.find(OWNER.node) is not None
     assert reassign_slots(SlotMap(1, (OWNER,), (0,) * 64), table.list_active()) is None
 
@@ -66,24 +66,24 @@
     """This happens after a restart of all VMs: each gets its old address and a new node name."""
     successor = Member(NodeId("node-9"), VmId("entry-1"), OWNER.address, DataHall("osborne"))
     unmet, table = make_unmet(Network(successor), clock)
-    assert await unmet.find_present([OWNER]) == frozenset()
+    assert await unmet.find_possibly_alive([OWNER]) == frozenset()
     assert table.find(successor.node) is not None
 
 
 async def test_owner_that_answers_nobody_is_gone_after_the_time_of_a_suspect(clock: Clock) -> None:
     unmet, table = make_unmet(Network(), clock)
-    assert await unmet.find_present([OWNER]) == {OWNER.node}
+    assert await unmet.find_possibly_alive([OWNER]) == {OWNER.node}
     clock.now += table.compute_suspicion_time() / 2
-    assert await unmet.find_present([OWNER]) == {OWNER.node}
+    assert await unmet.find_possibly_alive([OWNER]) == {OWNER.node}
     clock.now += table.compute_suspicion_time() / 2
-    assert await unmet.find_present([OWNER]) == frozenset()
+    assert await unmet.find_possibly_alive([OWNER]) == frozenset()
 
 
 async def test_owner_that_is_known_to_be_dead_is_not_asked(clock: Clock) -> None:
     network = Network(make_member(1))
     unmet, table = make_unmet(network, clock)
     table.merge([make_member(1), make_member(1, MemberState.DEAD)])
-    assert await unmet.find_present([OWNER]) == frozenset()
+    assert await unmet.find_possibly_alive([OWNER]) == frozenset()
     assert network.asked == []
 
 
--- a/tests/rig/mechanisms.py
+++ b/tests/rig/mechanisms.py
@@ -222,7 +222,7 @@
         (
             Edit(
                 f"{NODE}/claims/ownership.py",
-                "        if self._is_stopping or clock >= self._confirmed_at + CONFIRM_BOUND:\n",
+                "        if self._is_stopping or clock >= self._confirmed_at + CONFIRM_TIMEOUT_S:\n",
                 "        if self._is_stopping:\n",
             ),
         ),
--- a/tests/system/test_cuts.py
+++ b/tests/system/test_cuts.py
@@ -11,7 +11,7 @@
 from rig.installation import Installation, caller_headers, operator_headers
 from rig.keys import make_key
 from rig.processes import wait_until
-from vaneturn_node.claims.ownership import CONFIRM_BOUND
+from vaneturn_node.claims.ownership import CONFIRM_TIMEOUT_S
 
 CUT = "entry-0"
 OTHERS = ("entry-1", "entry-2")
@@ -106,7 +106,7 @@
     before = [make_key() for _ in range(20)]
     taken = {key: post(trio, CUT, key).is_success for key in before}
     trio.cut(CUT)
-    wait_until(lambda: is_refused(trio, make_key()), timeout=10 * CONFIRM_BOUND)
+    wait_until(lambda: is_refused(trio, make_key()), timeout=10 * CONFIRM_TIMEOUT_S)
     for key in [*before, *(make_key() for _ in range(20))]:
         runs = taken.get(key, False) + sum(post(trio, node, key).is_success for node in trio.nodes)
         assert runs <= 1
