--- a/packages/node/src/vaneturn_node/configuration/follower.py
+++ b/packages/node/src/vaneturn_node/configuration/follower.py
@@ -12,10 +12,10 @@
 from vaneturn_core.configuration.document import CONFIGURATION_KEY
 from vaneturn_core.identifiers import StoreVersion
 from vaneturn_core.ports import Entry, KeyValueService, Unavailable
-from vaneturn_node.configuration.inforce import ConfigurationInForce, Offer
+from vaneturn_node.configuration.inforce import ConfigurationInForce, OfferResult
 
 WATCH_TIME_S: Final = 20.0  # the service counts each watch as one call
-WATCHERS: Final = 4  # nodes of each data hall that watch; the others get changes from their peers
+WATCHERS_PER_HALL: Final = 4  # nodes of each data hall that watch; the others get changes from their peers
 ROLE_CHECK_INTERVAL_S: Final = 1.0  # between checks whether this node should watch
 MIN_BACKOFF_S: Final = 0.2  # full jitter
 MAX_BACKOFF_S: Final = 2.0
@@ -27,17 +27,17 @@
 class ConfigurationFollower:
     """Watches one key, and writes the newer document back if the store was restored to an older state."""
 
-    def __init__(self, store: KeyValueService, in_force: ConfigurationInForce, is_chosen: Callable[[], bool]) -> None:
+    def __init__(self, store: KeyValueService, in_force: ConfigurationInForce, is_watcher: Callable[[], bool]) -> None:
         self._store = store
         self._in_force = in_force
-        self._is_chosen = is_chosen
+        self._is_watcher = is_watcher
 
     async def run(self) -> None:
         """Follow the key until cancelled; once a configuration is known, only some nodes watch."""
         version = StoreVersion(-1)  # differs from any version of a key, so that the first watch returns at once
         backoff = MIN_BACKOFF_S
         while True:
-            if self._in_force.revision and not self._is_chosen():
+            if self._in_force.revision and not self._is_watcher():
                 await anyio.sleep(ROLE_CHECK_INTERVAL_S)
                 continue
             entry = await self._store.watch(CONFIGURATION_KEY, version, WATCH_TIME_S)
@@ -51,7 +51,7 @@
                 await self._apply(entry)
 
     async def _apply(self, entry: Entry) -> None:
-        is_store_older = not entry.value or self._in_force.offer(entry.value) is Offer.OLDER
+        is_store_older = not entry.value or self._in_force.offer(entry.value) is OfferResult.OLDER
         if is_store_older and self._in_force.data:
             await self._restore(entry)
 
--- a/packages/node/src/vaneturn_node/configuration/inforce.py
+++ b/packages/node/src/vaneturn_node/configuration/inforce.py
@@ -18,7 +18,7 @@
 logger = logging.getLogger(__name__)
 
 
-class Offer(Enum):
+class OfferResult(Enum):
     """The result of offering a document."""
 
     INSTALLED = "installed"
@@ -48,25 +48,25 @@
         """Find a server in the configuration currently in force."""
         return self.view.find_server(vm)
 
-    def listen(self, listener: Callable[[Configuration], None]) -> None:
+    def add_listener(self, listener: Callable[[Configuration], None]) -> None:
         """Call the listener with each newer configuration."""
         self._listeners.append(listener)
 
-    def offer(self, data: bytes) -> Offer:
+    def offer(self, data: bytes) -> OfferResult:
         """Put a document in force if it is newer than the current one."""
         if data == self.data:
-            return Offer.SAME
+            return OfferResult.SAME
         configuration = decode_configuration(data)
         if isinstance(configuration, Fault):
             logger.error("configuration rejected", extra={"fault": str(configuration)})
-            return Offer.MALFORMED
+            return OfferResult.MALFORMED
         if configuration.revision < self.revision:
-            return Offer.OLDER
+            return OfferResult.OLDER
         if configuration.revision == self.revision:
             logger.error("two different documents with the same revision", extra={"revision": self.revision})
-            return Offer.DIFFERENT
+            return OfferResult.DIFFERENT
         self._install(configuration, data)
-        return Offer.INSTALLED
+        return OfferResult.INSTALLED
 
     def _install(self, configuration: Configuration, data: bytes) -> None:
         if configuration.revision <= self.revision:
@@ -82,4 +82,4 @@
         logger.info("configuration in force", extra={"revision": configuration.revision, "digest": self.digest})
 
 
-__all__ = ["ConfigurationInForce", "Offer"]
+__all__ = ["ConfigurationInForce", "OfferResult"]
--- a/packages/node/src/vaneturn_node/daemon.py
+++ b/packages/node/src/vaneturn_node/daemon.py
@@ -35,7 +35,7 @@
 from vaneturn_node.claims.ownership import SlotOwnership
 from vaneturn_node.clock import read_clock
 from vaneturn_node.configuration.changes import Changes
-from vaneturn_node.configuration.follower import WATCHERS, ConfigurationFollower
+from vaneturn_node.configuration.follower import WATCHERS_PER_HALL, ConfigurationFollower
 from vaneturn_node.configuration.inforce import ConfigurationInForce
 from vaneturn_node.http.app import make_app
 from vaneturn_node.http.ended import EndedRequests
@@ -83,7 +83,9 @@
         table = MemberTable(own, random.Random(node), read_clock)
         runtime = _make_runtime(settings, table, client, tasks)
         peers = make_peers(runtime, table)
-        follower = ConfigurationFollower(runtime.store, runtime.in_force, lambda: table.has_role("watch", WATCHERS))
+        follower = ConfigurationFollower(
+            runtime.store, runtime.in_force, lambda: table.has_role("watch", WATCHERS_PER_HALL)
+        )
         tasks.start_soon(peers.run)
         placer = Placer(runtime.tenure, runtime.in_force, runtime.pool, runtime.healths, runtime.metrics)
         tasks.start_soon(follower.run)
@@ -107,10 +109,10 @@
     pool = LinkPool(tasks, healths, metrics)
     placement = Placement(healths, pool, metrics)
     caches = CacheMover(client, settings.data_hall)
-    in_force.listen(lambda configuration: healths.replace_leaving(LeavingSource.OPERATOR, configuration.draining))
-    in_force.listen(caches.follow)
-    in_force.listen(pool.follow)
-    in_force.listen(placement.follow)
+    in_force.add_listener(lambda configuration: healths.replace_leaving(LeavingSource.OPERATOR, configuration.draining))
+    in_force.add_listener(caches.follow)
+    in_force.add_listener(pool.follow)
+    in_force.add_listener(placement.follow)
     return Runtime(
         settings=settings,
         node=table.own.node,
--- a/packages/node/src/vaneturn_node/peers/sharing.py
+++ b/packages/node/src/vaneturn_node/peers/sharing.py
@@ -38,7 +38,7 @@
         self._marks: dict[VmId, float] = {}  # until when
         gossip.on_newer_revision(self._note_newer)
         gossip.on_leaving(self._note_leaving)
-        in_force.listen(self._announce)
+        in_force.add_listener(self._announce)
         healths.on_leaving(self._tell_leaving)
 
     def _note_newer(self, revision: Revision, address: str) -> None:
