--- a/packages/node/src/vaneturn_node/answers/generation.py
+++ b/packages/node/src/vaneturn_node/answers/generation.py
@@ -17,7 +17,7 @@
 from vaneturn_core.routing.recovery import Method
 from vaneturn_node.answers.moving import CHECK_INTERVAL_S, Mover
 from vaneturn_node.answers.placement import Placement
-from vaneturn_node.answers.request import AnswerRequest, Piece, Yield
+from vaneturn_node.answers.request import AnswerRequest, GeneratedToken, GenerationItem
 from vaneturn_node.answers.resume import ResumePoint, count_generated, digest_prompt
 from vaneturn_node.answers.stagerun import HopFailure, StageRun
 from vaneturn_node.clock import read_clock
@@ -81,7 +81,7 @@
         self._switch_route(point.make_route(self._request.pipeline.layers))
         self._lacking.clear()
 
-    def describe_point(self, *, is_finished: bool) -> ResumePoint:
+    def make_resume_point(self, *, is_finished: bool) -> ResumePoint:
         """Describe the answer so that another node can resume it."""
         request = self._request
         hops = self._route.hops if self._route else ()
@@ -103,7 +103,7 @@
         request = self._request
         return GenerationState(request.id, request.customer, request.pipeline.name, tuple(self.routes), self.recoveries)
 
-    async def run(self) -> AsyncGenerator[Yield, None]:
+    async def run(self) -> AsyncGenerator[GenerationItem, None]:
         """Yield each token once and in order; after a failure yield the outcome last."""
         try:
             while self._generated < self._request.max_tokens:
@@ -117,7 +117,7 @@
         finally:
             self._run.close()
 
-    def _append(self, reply: Done) -> Piece:
+    def _append(self, reply: Done) -> GeneratedToken:
         if reply.token is None or reply.position + reply.count != count_tokens(self._tokens):
             raise AssertionError(f"token out of order after position {reply.position}")
         position = count_tokens(self._tokens)
@@ -125,7 +125,9 @@
         self._generated += 1
         self._metrics.tokens.inc()
         self._record_recovery()
-        return Piece(position, reply.token, reply.text, last=reply.last or self._generated == self._request.max_tokens)
+        return GeneratedToken(
+            position, reply.token, reply.text, last=reply.last or self._generated == self._request.max_tokens
+        )
 
     async def _advance(self) -> Done | NotRun | Unknown:
         """Run all positions that are not held yet; the last reply contains the next token."""
@@ -158,15 +160,13 @@
         return False
 
     def _choose_route(self) -> Route | None:
-        """Choose a route: the broken one with its failed hop replaced, or else an entirely new one.
-
-        The other hops of the broken route are kept as their servers may accept no new session of this version.
-        """
+        """Choose a route: the failed one with its failed hop replaced, or else an entirely new one."""
+        # The other hops are kept where possible, as their servers may accept no new session of this version.
         request, avoided = self._request, self._list_avoided_servers()
         if self._failed_route is not None:
             route, index = self._failed_route
-            return self._placement.replace(request.pipeline, route, index, request.affinity, avoided)
-        return self._placement.choose(request.pipeline, request.affinity, avoided)
+            return self._placement.replace_hop(request.pipeline, route, index, request.affinity, avoided)
+        return self._placement.find_route(request.pipeline, request.affinity, avoided)
 
     def _choose_version(self) -> None:
         """Choose the version to serve; called only before the first token, after which the version is fixed.
@@ -190,7 +190,7 @@
             return
         request = self._request
         avoided = {*self._list_avoided_servers(), route.hops[suggestion.index].vm}
-        new = self._placement.replace(request.pipeline, route, suggestion.index, request.affinity, avoided)
+        new = self._placement.replace_hop(request.pipeline, route, suggestion.index, request.affinity, avoided)
         if new is None or not self._mover.is_improvement(suggestion, route, new):
             return
         self._recovery_started_at = read_clock()
--- a/packages/node/src/vaneturn_node/answers/placement.py
+++ b/packages/node/src/vaneturn_node/answers/placement.py
@@ -39,15 +39,15 @@
         self._configuration = configuration
         self._compute_flows()
 
-    def choose(self, pipeline: Pipeline, affinity: str, avoided: Collection[VmId]) -> Route | None:
-        """Choose a route over servers that are connected, not leaving and, if possible, not ejected."""
+    def find_route(self, pipeline: Pipeline, affinity: str, avoided: Collection[VmId]) -> Route | None:
+        """Find a route over servers that are connected, not leaving and, if possible, not ejected."""
         flow = self._find_flow(pipeline)
         barred = self._list_barred(avoided)
         barred_or_ejected = barred | self._healths.list_ejected()
         route = choose_route(flow, pipeline.layers, affinity, self._healths, barred_or_ejected)
         return route or choose_route(flow, pipeline.layers, affinity, self._healths, barred)
 
-    def replace(
+    def replace_hop(
         self, pipeline: Pipeline, route: Route, index: int, affinity: str, avoided: Collection[VmId]
     ) -> Route | None:
         """Choose a route that keeps all hops but one, or else an entirely new one.
@@ -65,7 +65,7 @@
                     Hop(hop.vm, hop.first + lost.first, hop.end + lost.first, hop.rate) for hop in replacement.hops
                 )
                 return Route(route.layers, (*route.hops[:index], *shifted, *route.hops[index + 1 :]))
-        return self.choose(pipeline, affinity, avoided)
+        return self.find_route(pipeline, affinity, avoided)
 
     def choose_version(self, pipeline: Pipeline, affinity: str) -> Pipeline:
         """Choose the version for a new answer: the declared one, or possibly the previous one during a rollout."""
--- a/packages/node/src/vaneturn_node/answers/request.py
+++ b/packages/node/src/vaneturn_node/answers/request.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class Piece:
+class GeneratedToken:
     """One generated token."""
 
     position: int  # index of the token in prompt and answer
@@ -38,6 +38,6 @@
     last: bool
 
 
-Yield = Piece | NotRun | Unknown
+GenerationItem = GeneratedToken | NotRun | Unknown
 
-__all__ = ["AnswerRequest", "Piece", "Yield"]
+__all__ = ["AnswerRequest", "GeneratedToken", "GenerationItem"]
--- a/packages/node/src/vaneturn_node/answers/resume.py
+++ b/packages/node/src/vaneturn_node/answers/resume.py
@@ -21,7 +21,7 @@
 from vaneturn_core.routing.hops import Hop, Route
 from vaneturn_node.peers.seal import Sealer
 
-MAX_RESUMABLE: Final = 4096  # generated tokens; event ids of a longer answer contain only its position
+MAX_RESUMABLE_TOKENS: Final = 4096  # event ids of a longer answer contain only its position
 ATTEMPTS_PER_RESUME: Final = 1 << 16  # attempts reserved for each resume: new ones exceed any that the lost node used
 
 
@@ -81,4 +81,4 @@
     return len(point.tokens) // TOKEN_BYTES
 
 
-__all__ = ["MAX_RESUMABLE", "ResumeCodec", "ResumePoint", "count_generated", "digest_prompt"]
+__all__ = ["MAX_RESUMABLE_TOKENS", "ResumeCodec", "ResumePoint", "count_generated", "digest_prompt"]
--- a/packages/node/src/vaneturn_node/http/answering.py
+++ b/packages/node/src/vaneturn_node/http/answering.py
@@ -17,8 +17,8 @@
 from vaneturn_core.identifiers import RequestId, SessionId
 from vaneturn_core.outcomes import NotRun, Reason, Unknown
 from vaneturn_node.answers.generation import Generation
-from vaneturn_node.answers.request import AnswerRequest, Piece
-from vaneturn_node.answers.resume import MAX_RESUMABLE, ResumeCodec, ResumePoint, count_generated
+from vaneturn_node.answers.request import AnswerRequest, GeneratedToken
+from vaneturn_node.answers.resume import MAX_RESUMABLE_TOKENS, ResumeCodec, ResumePoint, count_generated
 from vaneturn_node.answers.stagerun import StageRun
 from vaneturn_node.claims.ports import Claim
 from vaneturn_node.clock import read_clock
@@ -71,7 +71,7 @@
         self._request = self._describe(session_name)
         stage_run = StageRun(self._request, runtime.pool, runtime.healths, runtime.settings.call_timeout)
         self._generation = Generation(self._request, stage_run, runtime.placement, runtime.mover, runtime.metrics)
-        self._pieces: AsyncGenerator[Piece | NotRun | Unknown, None] = self._generation.run()
+        self._pieces: AsyncGenerator[GeneratedToken | NotRun | Unknown, None] = self._generation.run()
         self._closed = False
         self._codec = ResumeCodec(Sealer(runtime.settings.cluster_key))
 
@@ -115,7 +115,7 @@
             return self._chat.body.seed
         return xxhash.xxh3_64_intdigest(self._account.id.encode()) >> 1
 
-    async def start(self) -> Piece | NotRun | Unknown | None:
+    async def start(self) -> GeneratedToken | NotRun | Unknown | None:
         """Wait for a place and the first token; claim a request that must run at most once in between.
 
         :return: the first token, or why there is none; nothing when a resumed answer was complete already.
@@ -157,7 +157,7 @@
         self._has_place = refusal is None
         return refusal
 
-    async def _follow(self, first: Piece | None) -> AsyncIterator[Piece | NotRun | Unknown]:
+    async def _follow(self, first: GeneratedToken | None) -> AsyncIterator[GeneratedToken | NotRun | Unknown]:
         if first is None:
             return
         self._note(first)
@@ -166,19 +166,19 @@
             self._note(piece)
             yield piece
 
-    def _note(self, piece: Piece | NotRun | Unknown) -> None:
-        if not isinstance(piece, Piece):
+    def _note(self, piece: GeneratedToken | NotRun | Unknown) -> None:
+        if not isinstance(piece, GeneratedToken):
             self._outcome = piece
             return
         self._account.note_token()
         if piece.last:
             self._outcome = None
 
-    async def collect(self, first: Piece) -> Response:
+    async def collect(self, first: GeneratedToken) -> Response:
         """Answer with the whole text, or with an error if its end was not reached."""
         texts: list[str] = []
         async for piece in self._follow(first):
-            if not isinstance(piece, Piece):
+            if not isinstance(piece, GeneratedToken):
                 return answer_error(piece, request=self.id)
             texts.append(piece.text)
         prompt_tokens = count_tokens(self._request.prompt)
@@ -191,23 +191,23 @@
         )
         return Response(msgspec.json.encode(completion), headers=self.headers, media_type="application/json")
 
-    async def stream(self, first: Piece | None) -> AsyncIterator[bytes]:
+    async def stream(self, first: GeneratedToken | None) -> AsyncIterator[bytes]:
         """Stream one event a token; only the end mark after the last one makes the answer whole."""
         async for piece in self._follow(first):
-            if not isinstance(piece, Piece):
+            if not isinstance(piece, GeneratedToken):
                 yield b"data: " + msgspec.json.encode(describe_error(piece)) + b"\n\n"
                 return
             yield self._encode_event(piece)
         yield self._encode_finish()
         yield _DONE
 
-    def _encode_event(self, piece: Piece) -> bytes:
+    def _encode_event(self, piece: GeneratedToken) -> bytes:
         chunk = self._make_chunk(Delta(content=piece.text), None)
         return b"id: %s\ndata: %s\n\n" % (self._name_event(piece).encode(), chunk)
 
-    def _name_event(self, piece: Piece) -> str:
-        point = self._generation.describe_point(is_finished=piece.last)
-        if count_generated(point) > MAX_RESUMABLE:
+    def _name_event(self, piece: GeneratedToken) -> str:
+        point = self._generation.make_resume_point(is_finished=piece.last)
+        if count_generated(point) > MAX_RESUMABLE_TOKENS:
             return str(piece.position)
         return self._codec.encode(point)
 
--- a/packages/node/src/vaneturn_node/http/answerresponse.py
+++ b/packages/node/src/vaneturn_node/http/answerresponse.py
@@ -5,14 +5,14 @@
 from starlette.responses import StreamingResponse
 from starlette.types import Receive, Scope, Send
 
-from vaneturn_node.answers.request import Piece
+from vaneturn_node.answers.request import GeneratedToken
 from vaneturn_node.http.answering import Answer
 
 
 class AnswerResponse(StreamingResponse):
     """A streamed answer that is closed however the connection ends, even before its first event."""
 
-    def __init__(self, answer: Answer, first: Piece | None) -> None:
+    def __init__(self, answer: Answer, first: GeneratedToken | None) -> None:
         super().__init__(answer.stream(first), headers=answer.headers, media_type="text/event-stream")
         self._answer = answer
 
