--- a/packages/node/src/vaneturn_node/configuration/changes.py
+++ b/packages/node/src/vaneturn_node/configuration/changes.py
@@ -122,11 +122,11 @@
         data = encode_configuration(record_change(proposal.declared, newest, change))
         result = await self._store.write(CONFIGURATION_KEY, data, version)
         if isinstance(result, Unavailable | Conflict):
-            return await self._settle(proposal.id)
+            return await self._resolve_write(proposal.id)
         self._in_force.offer(data)
         return Applied(change)
 
-    async def _settle(self, change: ChangeId) -> ChangeResult:
+    async def _resolve_write(self, change: ChangeId) -> ChangeResult:
         """Find out whether the change is in the store, after a lost answer or a conflict."""
         with anyio.move_on_after(SETTLE_TIMEOUT_S):
             while True:
--- a/packages/node/src/vaneturn_node/daemon.py
+++ b/packages/node/src/vaneturn_node/daemon.py
@@ -162,12 +162,12 @@
         async for received in signals:
             logger.info("stopping", extra={"signal": received.name})
             break
-    runtime.admission.ready = False
+    runtime.admission.is_ready = False
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(peers.retire)
         tasks.start_soon(runtime.tenure.give_up)
         await anyio.sleep(UNREADY_TIME)
-        runtime.admission.stopping = True
+        runtime.admission.is_stopping = True
     with anyio.move_on_after(runtime.settings.stop_timeout):
         await runtime.admission.wait_idle()
     await peers.stop()
--- a/packages/node/src/vaneturn_node/http/app.py
+++ b/packages/node/src/vaneturn_node/http/app.py
@@ -56,7 +56,7 @@
 
 
 async def _show_readiness(_request: Request, runtime: Runtime) -> Response:
-    if not runtime.admission.ready:
+    if not runtime.admission.is_ready:
         return PlainTextResponse("stopping\n", 503)
     if not runtime.in_force.revision:
         return PlainTextResponse("no configuration\n", 503)
--- a/packages/node/src/vaneturn_node/http/operators.py
+++ b/packages/node/src/vaneturn_node/http/operators.py
@@ -126,7 +126,7 @@
         node=runtime.node,
         vm=runtime.settings.vm,
         data_hall=runtime.settings.data_hall,
-        stopping=not runtime.admission.ready,
+        stopping=not runtime.admission.is_ready,
         revision=runtime.in_force.revision,
         digest=runtime.in_force.digest,
         servers=servers,
--- a/packages/node/src/vaneturn_node/limits/admission.py
+++ b/packages/node/src/vaneturn_node/limits/admission.py
@@ -48,12 +48,12 @@
         self._by_customer: Counter[CustomerName] = Counter()
         self._pipelines: dict[PipelineName, _PipelineState] = {}
         self._idle = anyio.Event()
-        self.ready = True  # becomes false before `stopping` is set: load balancers leave before requests are refused
-        self.stopping = False
+        self.is_ready = True  # false some time before is_stopping is true, so that load balancers stop sending first
+        self.is_stopping = False
 
     def enter(self, customer: Customer) -> NotRun | None:
         """Admit a request to this node, or return why not; call leave() at the end of an admitted request."""
-        if self.stopping:
+        if self.is_stopping:
             return NotRun(Reason.STOPPING)
         if self._by_customer[customer.name] >= customer.max_in_progress:
             return NotRun(Reason.CUSTOMER_LIMIT)
--- a/packages/node/src/vaneturn_node/placing/placer.py
+++ b/packages/node/src/vaneturn_node/placing/placer.py
@@ -90,7 +90,7 @@
         """Tell whether no order of the previous holder can reach the server after this one."""
         if not self._tenure.is_sure(ORDER_TIMEOUT_S):
             return False
-        return server.checks_fence or read_clock() >= self._tenure.since + ORDER_TIMEOUT_S
+        return server.checks_fence or read_clock() >= self._tenure.acquired_at + ORDER_TIMEOUT_S
 
     def _send(self, order: HoldOrder) -> None:
         link = self._pool[order.vm]
--- a/packages/node/src/vaneturn_node/placing/tenure.py
+++ b/packages/node/src/vaneturn_node/placing/tenure.py
@@ -50,7 +50,7 @@
         self._sure_until = float("-inf")
         self._is_stopping = False
         self._newest_fence = 0  # highest fence of any engine or record; a takeover must exceed it
-        self.since = float("-inf")  # when this node took over
+        self.acquired_at = float("-inf")  # when this node took over
 
     @property
     def fence(self) -> int:
@@ -102,7 +102,7 @@
             return
         fence = max(self._record.fence, self._newest_fence) + 1
         if await self._write(TenureRecord(fence, self._table.own.node)):
-            self.since = read_clock()
+            self.acquired_at = read_clock()
             logger.info("took the placing over", extra={"fence": fence})
             return
         await anyio.sleep(random.uniform(0, MAX_RETRY_DELAY_S))
