--- a/packages/node/src/vaneturn_node/claims/chosen.py
+++ b/packages/node/src/vaneturn_node/claims/bymode.py
@@ -10,7 +10,7 @@
 from vaneturn_node.claims.ports import Claim, Claims
 
 
-class ChosenClaims:
+class ClaimsByMode:
     """Delegates each claim to the mode in force.
 
     A release goes to the mode that made the claim: only claims by key have a version.
@@ -30,4 +30,4 @@
         await self._by_mode[mode].release(claim)
 
 
-__all__ = ["ChosenClaims"]
+__all__ = ["ClaimsByMode"]
--- a/packages/node/src/vaneturn_node/daemon.py
+++ b/packages/node/src/vaneturn_node/daemon.py
@@ -30,8 +30,8 @@
 from vaneturn_node.answers.moving import Mover
 from vaneturn_node.answers.placement import Placement
 from vaneturn_node.claims.bykey import ClaimsByKey
+from vaneturn_node.claims.bymode import ClaimsByMode
 from vaneturn_node.claims.byslot import ClaimsBySlot
-from vaneturn_node.claims.chosen import ChosenClaims
 from vaneturn_node.claims.ownership import SlotOwnership
 from vaneturn_node.clock import read_clock
 from vaneturn_node.configuration.changes import Changes
@@ -120,7 +120,7 @@
         store=store,
         in_force=in_force,
         changes=Changes(store, in_force),
-        claims=ChosenClaims(
+        claims=ClaimsByMode(
             {
                 ClaimMode.BY_KEY: ClaimsByKey(store, table.own.node),
                 ClaimMode.BY_SLOT: ClaimsBySlot(table.own.node, ownership, peer_client),
