--- a/packages/node/src/vaneturn_node/answers/placement.py
+++ b/packages/node/src/vaneturn_node/answers/placement.py
@@ -92,7 +92,7 @@
         self._is_stale = True
 
     def _refresh(self) -> None:
-        """Recompute the flows if holdings of engines changed; a burst of changes is handled at once."""
+        """Recompute the flows if holdings of engines changed; not for each change, as they come in bursts."""
         if self._is_stale and read_clock() >= self._computed_at + REFRESH_INTERVAL_S:
             self._compute_flows()
 
--- a/packages/node/src/vaneturn_node/claims/ownership.py
+++ b/packages/node/src/vaneturn_node/claims/ownership.py
@@ -21,7 +21,7 @@
 from vaneturn_node.peers.requests import PeerClient
 
 CONFIRM_INTERVAL_S: Final = 2.0  # the duration of an owner's watch of the map
-CONFIRM_TIMEOUT_S: Final = 6.0  # without a confirmation of the map, after which an owner accepts no claims
+CONFIRM_TIMEOUT_S: Final = 6.0  # an owner whose last confirmation of the map is older accepts no claims
 MAX_RETRY_DELAY_S: Final = 0.3  # full jitter
 HANDOVER_TRY_TIMEOUT_S: Final = 1.0  # for one try to hand a slot over to its next owner
 HANDOVER_TRIES: Final = 20
@@ -103,7 +103,7 @@
             self._ledgers[slot] = SlotLedger(taken_at=time.time() + CONFIRM_TIMEOUT_S)
 
     def _drop_slots(self) -> None:
-        """Forget all slots: after a revert of the map, claims decided since then are unknown."""
+        """Forget all slots: claims that were decided under the reverted part of the map's history are unknown."""
         self._accept_from.clear()
         self._ledgers.clear()
 
--- a/packages/node/src/vaneturn_node/limits/admission.py
+++ b/packages/node/src/vaneturn_node/limits/admission.py
@@ -48,7 +48,7 @@
         self._by_customer: Counter[CustomerName] = Counter()
         self._pipelines: dict[PipelineName, _PipelineState] = {}
         self._idle = anyio.Event()
-        self.is_ready = True  # false some time before is_stopping is true, so that load balancers stop sending first
+        self.is_ready = True  # becomes false first, so that load balancers stop sending before requests are refused
         self.is_stopping = False
 
     def enter(self, customer: Customer) -> NotRun | None:
