--- a/tests/node/test_ownership.py
+++ b/tests/node/test_ownership.py
@@ -32,7 +32,7 @@
         self.value = b""
         self.version = StoreVersion(0)
         self.changed = anyio.Event()
-        self.is_silent = False
+        self.is_unresponsive = False
         self.held_answers: list[anyio.Event] = []  # each delays the answer to one watch until it is set
 
     async def read(self, _key: str) -> Entry | Unavailable:
@@ -40,7 +40,7 @@
 
     async def watch(self, key: str, after: StoreVersion, wait: float) -> Entry | Unavailable | None:
         assert key == SLOTS_KEY
-        if self.is_silent:
+        if self.is_unresponsive:
             await anyio.sleep_forever()
         with anyio.move_on_after(wait):
             while self.version == after:
@@ -94,12 +94,12 @@
 
 def claim_anywhere(owners: dict[str, SlotOwnership], key: RepeatKey, claim: str) -> Verdict:
     verdicts = [owner.claim(CUSTOMER, key, claim) for owner in owners.values()]
-    told = [verdict for verdict in verdicts if verdict is not Verdict.NOT_OWNER]
-    assert len(told) <= 1
-    return told[0] if told else Verdict.NOT_OWNER
+    decided = [verdict for verdict in verdicts if verdict is not Verdict.NOT_OWNER]
+    assert len(decided) <= 1
+    return decided[0] if decided else Verdict.NOT_OWNER
 
 
-async def take_slots(owners: dict[str, SlotOwnership], monkeypatch: pytest.MonkeyPatch) -> None:
+async def accept_slots(owners: dict[str, SlotOwnership], monkeypatch: pytest.MonkeyPatch) -> None:
     """Let every owner accept claims; a slot that is reassigned later without a handover accepts none for a minute."""
     monkeypatch.setattr(module, "CONFIRM_TIMEOUT_S", 0.2)
     monkeypatch.setattr("vaneturn_core.claims.ledger.CLOCK_MARGIN_S", 0.0)
@@ -111,7 +111,7 @@
         assert await owner.refresh(0.0)
 
 
-def retire(owners: dict[str, SlotOwnership], *indexes: int) -> None:
+def announce_stops(owners: dict[str, SlotOwnership], *indexes: int) -> None:
     """Let owners announce their stop, and let all others know it."""
     for index in indexes:
         stopping = owners[make_member(index).address]._table
@@ -128,11 +128,11 @@
     monkeypatch.setattr(module, "HANDOVER_RETRY_DELAY_S", 0.01, raising=False)
     store = FakeStore()
     owners = make_owners(store)
-    await take_slots(owners, monkeypatch)
+    await accept_slots(owners, monkeypatch)
     taken = [make_key() for _ in range(60)]
     assert all(claim_anywhere(owners, key, "first") is Verdict.WON for key in taken)
     stopping = owners[make_member(0).address]
-    retire(owners, 0)
+    announce_stops(owners, 0)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(stopping.refresh, 5.0)
         await anyio.wait_all_tasks_blocked()
@@ -146,11 +146,11 @@
 async def test_two_owners_that_stop_at_once_lose_no_claim(monkeypatch: pytest.MonkeyPatch) -> None:
     store = FakeStore()
     owners = make_owners(store, 3)
-    await take_slots(owners, monkeypatch)
+    await accept_slots(owners, monkeypatch)
     taken = [make_key() for _ in range(90)]
     assert all(claim_anywhere(owners, key, "first") is Verdict.WON for key in taken)
     client = cast("PeerClient", FakeClient(owners))
-    retire(owners, 0, 1)
+    announce_stops(owners, 0, 1)
     async with anyio.create_task_group() as tasks:
         for index in (0, 1):
             tasks.start_soon(owners[make_member(index).address].hand_over, client)
@@ -163,9 +163,9 @@
     monkeypatch.setattr(module, "HANDOVER_TIMEOUT_S", 0.1, raising=False)
     store = FakeStore()
     owners = make_owners(store)
-    await take_slots(owners, monkeypatch)
-    retire(owners, 0)
-    store.is_silent = True
+    await accept_slots(owners, monkeypatch)
+    announce_stops(owners, 0)
+    store.is_unresponsive = True
     with anyio.fail_after(10):
         await owners[make_member(0).address].hand_over(cast("PeerClient", FakeClient(owners)))
 
@@ -174,7 +174,7 @@
 async def test_late_answer_to_an_older_question_does_not_take_the_map_back(monkeypatch: pytest.MonkeyPatch) -> None:
     store = FakeStore()
     owners = make_owners(store)
-    await take_slots(owners, monkeypatch)
+    await accept_slots(owners, monkeypatch)
     owner = owners[make_member(0).address]
     taken = [make_key() for _ in range(60)]
     assert all(claim_anywhere(owners, key, "first") is Verdict.WON for key in taken)
@@ -199,10 +199,9 @@
 async def test_node_that_was_left_out_learns_from_a_claim_that_it_owns_slots_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A node that is not an owner and no longer refreshes the map misses a newer map in which it owns slots.
+    """A node that others left out of the map, as they didn't know it, must notice a newer map in which it owns slots.
 
-    This happened when three nodes started together and wrote maps in turn, each without the nodes that it did not know
-    yet. Two thirds of the keys were then refused for 30 s, until the test timed out.
+    Three nodes that started together wrote such maps in turn; two thirds of keys were refused until a 30 s timeout.
     """
     monkeypatch.setattr(module, "IDLE_INTERVAL_S", 0.05)
     monkeypatch.setattr(module, "CONFIRM_INTERVAL_S", 0.05)
@@ -235,8 +234,7 @@
     return SlotOwner(owner._table.own.node, owner._table.own.address)
 
 
-def make_newcomer(store: FakeStore) -> SlotOwnership:
-    """Create the ownership of a node that knows no other node yet."""
+def make_ownership_without_contacts(store: FakeStore) -> SlotOwnership:
     return SlotOwnership(store, MemberTable(make_member(7), Random(7), time.monotonic))
 
 
@@ -245,13 +243,13 @@
     """A node that has just started knows only itself, and must not treat owners that it doesn't know as gone.
 
     Otherwise nodes that start together reassign each other's slots in turn: 17 maps within 0.1 s were seen, until one
-    map named a node that all knew, and nodes missing from that map owned nothing. In the log lines "slots assigned" the
-    writer then knows one node and takes 64 slots of three live owners. Each such map makes callers' keys be refused for
-    8 s. Therefore unknown owners are asked first.
+    named a node that all knew, and nodes missing from it owned nothing. In the log lines "slots assigned" the writer
+    then knows one node and takes 64 slots of three live owners. Each such map makes keys be refused for 8 s, so
+    unknown owners are asked first.
     """
     store = FakeStore()
     make_owners(store, 3)
-    newcomer = make_newcomer(store)
+    newcomer = make_ownership_without_contacts(store)
     with anyio.move_on_after(1.0):
         await newcomer.run()
     assert store.version == 1, newcomer.map.count_slots()
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -11,7 +11,7 @@
 from rig.installation import Installation
 from rig.processes import wait_until
 
-IN_FORCE = 3.0  # seconds
+IN_FORCE_TIMEOUT_S = 3.0
 KEY = "vaneturn/configuration"
 
 
@@ -46,7 +46,7 @@
 
 def test_change_reaches_every_node_in_time(trio: Installation) -> None:
     assert change(trio, "late", "entry-2").is_success
-    wait_until(lambda: list_revisions(trio) == [2, 2, 2], timeout=IN_FORCE)
+    wait_until(lambda: list_revisions(trio) == [2, 2, 2], timeout=IN_FORCE_TIMEOUT_S)
 
 
 def test_accepted_change_spreads_while_the_store_is_down(trio: Installation) -> None:
@@ -54,7 +54,7 @@
     assert change(trio, "missed").is_success
     trio.set_faults("kv", down=True)
     trio.processes["entry-1"].send(signal.SIGCONT)
-    wait_until(lambda: list_revisions(trio) == [2, 2, 2], timeout=IN_FORCE + 2)
+    wait_until(lambda: list_revisions(trio) == [2, 2, 2], timeout=IN_FORCE_TIMEOUT_S + 2)
 
 
 def test_change_during_an_outage_is_not_accepted_and_not_made(trio: Installation) -> None:
@@ -70,7 +70,7 @@
     trio.set_faults("kv", lose_write_answers=1)
     answer = change(trio, "lost-answer")
     assert answer.json()["result"] == "applied"
-    wait_until(lambda: list_revisions(trio) == [2, 2, 2], timeout=IN_FORCE)
+    wait_until(lambda: list_revisions(trio) == [2, 2, 2], timeout=IN_FORCE_TIMEOUT_S)
 
 
 def test_change_id_tells_whether_it_took_effect(trio: Installation) -> None:
@@ -80,7 +80,7 @@
     again = trio.propose(based_on, node="entry-1", change="change-0001")
     assert again.json()["result"] == "applied"
     assert again.json()["change"]["revision"] == 2
-    wait_until(lambda: list_revisions(trio) == [2, 2, 2], timeout=IN_FORCE)
+    wait_until(lambda: list_revisions(trio) == [2, 2, 2], timeout=IN_FORCE_TIMEOUT_S)
 
 
 def test_racing_operators_have_one_winner_that_the_loser_is_told(trio: Installation) -> None:
@@ -95,7 +95,7 @@
 def test_store_restored_to_an_older_state_is_put_right(trio: Installation) -> None:
     assert change(trio, "second").is_success
     assert change(trio, "third").is_success
-    wait_until(lambda: list_revisions(trio) == [3, 3, 3], timeout=IN_FORCE)
+    wait_until(lambda: list_revisions(trio) == [3, 3, 3], timeout=IN_FORCE_TIMEOUT_S)
     trio.client.post(trio.url("kv") + f"/control/restore/{KEY}", params={"steps": 2}).raise_for_status()
 
     def is_right() -> bool:
@@ -110,7 +110,7 @@
     for name in ("one", "two", "three"):
         assert change(trio, name).is_success
     trio.processes["entry-2"].send(signal.SIGCONT)
-    wait_until(lambda: list_revisions(trio) == [4, 4, 4], timeout=IN_FORCE + 2)
+    wait_until(lambda: list_revisions(trio) == [4, 4, 4], timeout=IN_FORCE_TIMEOUT_S + 2)
 
 
 def test_node_started_during_an_outage_gets_it_from_peers(trio: Installation) -> None:
--- a/tests/system/test_placing.py
+++ b/tests/system/test_placing.py
@@ -15,8 +15,8 @@
 
 TEXT = "Check the verification letter of debtor 8"
 RANGES = ((0, 6), (6, LAYERS))
-LOADS = 2
-SLOW_LAYER = 0.5  # seconds; the first engines then have the new version later than a request waits for a route
+MAX_LOADS = 2
+SLOW_LAYER_S = 0.5  # the first engines then have the new version later than a request waits for a route
 
 
 @pytest.fixture
@@ -28,7 +28,7 @@
 
 def start_ordered(installation: Installation, letters: str) -> None:
     installation.start_platform()
-    installation.start_weight_store(LOADS)
+    installation.start_weight_store(MAX_LOADS)
     for first, end in RANGES:
         for letter in letters:
             name = f"runner-{first}{letter}"
@@ -37,14 +37,14 @@
     for index in range(2):
         installation.start_node(f"entry-{index}")
     installation.apply_everywhere()
-    wait_until(lambda: all(hold(installation, name) for name in list_engines(installation)))
+    wait_until(lambda: all(has_loaded(installation, name) for name in list_engines(installation)))
 
 
 def list_engines(installation: Installation) -> list[str]:
     return [name for name in installation.processes if name.startswith("runner-")]
 
 
-def hold(installation: Installation, name: str, version: str = "1") -> bool:
+def has_loaded(installation: Installation, name: str, version: str = "1") -> bool:
     """Tell whether the last part that an engine loaded since its start is of a version."""
     loaded: list[str] = []
     for entry in installation.read_journal(name):
@@ -80,7 +80,7 @@
 def assert_store_was_spared(installation: Installation) -> None:
     loads = installation.read_journal("weights")
     assert [entry["event"] for entry in loads] == ["load"] * len(loads)
-    assert max(entry["at_once"] for entry in loads) <= LOADS
+    assert max(entry["at_once"] for entry in loads) <= MAX_LOADS
 
 
 @contextmanager
@@ -113,12 +113,12 @@
     node = ordered.nodes[1]
     with ordered.stream(TEXT, max_tokens=150) as stream, keep_asking(ordered, node) as answered:
         stream.read(10)
-        slow_loads = f"/control/{SLOW_LAYER}"
+        slow_loads = f"/control/{SLOW_LAYER_S}"
         ordered.client.post(ordered.url("weights") + slow_loads).raise_for_status()
         roll_out(ordered, "2", ordered.nodes[0])
         assert stream.read() == expect_text(TEXT, max_tokens=150, version="1")
         assert stream.is_whole
-        wait_until(lambda: all(hold(ordered, name, "2") for name in list_engines(ordered)))
+        wait_until(lambda: all(has_loaded(ordered, name, "2") for name in list_engines(ordered)))
         asked = len(answered)
         wait_until(lambda: len(answered) > asked + 2)
     for text, answer in answered:
@@ -130,14 +130,14 @@
 def test_version_that_goes_before_the_first_token_is_changed(installation: Installation) -> None:
     """The second stage drops the version after the first stage has run and before the answer reaches the second."""
     installation.start_platform()
-    installation.start_weight_store(LOADS)
+    installation.start_weight_store(MAX_LOADS)
     for first, end in RANGES:
         installation.start_ordered_engine(f"runner-{first}", first, end, "--memory-layers", "100")
     for server in installation.declared["servers"]:
         server["memory"] = 100
     installation.start_node("entry")
     installation.apply_everywhere()
-    wait_until(lambda: all(hold(installation, f"runner-{first}") for first, _ in RANGES))
+    wait_until(lambda: all(has_loaded(installation, f"runner-{first}") for first, _ in RANGES))
     assert read_text(installation.chat(TEXT)) == expect_text(TEXT)
     text = TEXT * 5  # a longer prompt, whose step may take longer
     installation.set_faults("runner-0", late_replies=1, late_seconds=2.5)
@@ -153,17 +153,14 @@
 
 
 def test_answer_on_the_previous_version_outlives_its_stage(installation: Installation) -> None:
-    """The stage crashes while all other servers have only the new version, without capacity for both.
-
-    It is restarted empty.
-    """
+    """The stage crashes and restarts empty while all others have the new version, without capacity for both."""
     ordered = installation
     start_ordered(ordered, "abcd")
     with ordered.stream(TEXT, max_tokens=900) as stream:
         stream.read(5)
         used = stream.route
         roll_out(ordered, "2", ordered.nodes[0])
-        wait_until(lambda: all(hold(ordered, name, "2") for name in list_engines(ordered) if name not in used))
+        wait_until(lambda: all(has_loaded(ordered, name, "2") for name in list_engines(ordered) if name not in used))
         wait_until(lambda: is_emptied(ordered, used[0], "1"))
         ordered.processes[used[0]].kill()
         ordered.start_ordered_engine(used[0], *RANGES[0])
@@ -172,7 +169,7 @@
     journal = ordered.read_journal(used[0])
     restarted = max(index for index, entry in enumerate(journal) if entry["event"] == "start")
     assert any(entry["event"] == "run" and entry["rebuild"] for entry in journal[restarted:])
-    wait_until(lambda: all(hold(ordered, name, "2") for name in list_engines(ordered)))
+    wait_until(lambda: all(has_loaded(ordered, name, "2") for name in list_engines(ordered)))
     assert_store_was_spared(ordered)
 
 
@@ -193,13 +190,13 @@
     unchecked = "runner-0c"
     ordered.processes[unchecked].send(signal.SIGSTOP)
     roll_out(ordered, "2", frozen)
-    wait_until(lambda: all(hold(ordered, name, "2") for name in list_engines(ordered) if name != unchecked))
+    wait_until(lambda: all(has_loaded(ordered, name, "2") for name in list_engines(ordered) if name != unchecked))
     wait_until(lambda: count_orders(ordered, frozen, unchecked) > 1)
     ordered.processes[frozen].send(signal.SIGSTOP)
     ordered.processes[unchecked].send(signal.SIGCONT)
-    wait_until(lambda: hold(ordered, unchecked, "2"))
+    wait_until(lambda: has_loaded(ordered, unchecked, "2"))
     roll_out(ordered, "3", other)
-    wait_until(lambda: all(hold(ordered, name, "3") for name in list_engines(ordered)), timeout=60)
+    wait_until(lambda: all(has_loaded(ordered, name, "3") for name in list_engines(ordered)), timeout=60)
     before = {name: len(ordered.read_journal(name)) for name in list_engines(ordered)}
     ordered.processes[frozen].send(signal.SIGCONT)
     wait_until(lambda: ordered.show_state(frozen)["revision"] == ordered.show_state(other)["revision"])
@@ -222,7 +219,7 @@
     ordered.processes[holder].send(signal.SIGTERM)
     assert ordered.processes[holder].popen.wait(timeout=30) == 0
     roll_out(ordered, "2", other)
-    wait_until(lambda: all(hold(ordered, name, "2") for name in list_engines(ordered)))
+    wait_until(lambda: all(has_loaded(ordered, name, "2") for name in list_engines(ordered)))
     assert find_holder(ordered) == other
     assert_orders_are_fenced(ordered)
 
@@ -233,7 +230,7 @@
     ordered.start_ordered_engine("runner-0a", *RANGES[0])
     assert all(read_text(ordered.chat(TEXT, node=node)) == expect_text(TEXT) for node in ordered.nodes)
     ordered.set_faults("kv")
-    wait_until(lambda: hold(ordered, "runner-0a"))
+    wait_until(lambda: has_loaded(ordered, "runner-0a"))
     assert_orders_are_fenced(ordered)
 
 
@@ -249,8 +246,8 @@
     frozen = "runner-0a"
     ordered.processes[frozen].send(signal.SIGSTOP)
     roll_out(ordered, "2", ordered.nodes[0])
-    wait_until(lambda: all(hold(ordered, name, "2") for name in list_engines(ordered) if name != frozen))
+    wait_until(lambda: all(has_loaded(ordered, name, "2") for name in list_engines(ordered) if name != frozen))
     ordered.processes[frozen].send(signal.SIGCONT)
-    wait_until(lambda: hold(ordered, frozen, "2"))
+    wait_until(lambda: has_loaded(ordered, frozen, "2"))
     assert_orders_are_fenced(ordered)
     assert_store_was_spared(ordered)
--- a/tests/system/test_rests.py
+++ b/tests/system/test_rests.py
@@ -9,7 +9,7 @@
 
 from rig.installation import Installation, caller_headers
 
-REST = 5.0  # seconds
+REST_S = 5.0
 
 
 def call(installation: Installation) -> httpx.Response:
@@ -19,7 +19,7 @@
 
 
 def let_rest(installation: Installation, server: str) -> None:
-    faults = {"rest": REST}
+    faults = {"rest": REST_S}
     httpx.post(installation.url(server) + "/control/faults", json=faults).raise_for_status()
 
 
@@ -33,7 +33,7 @@
     assert count_turned_away(pair, "desk-0") == 1
     assert [answer.status_code for answer in answers].count(httpx.codes.OK) == 19
     turned_away = next(answer for answer in answers if not answer.is_success)
-    assert float(turned_away.headers["retry-after"]) == REST
+    assert float(turned_away.headers["retry-after"]) == REST_S
 
 
 def test_calls_are_refused_at_once_while_all_servers_of_a_service_rest(pair: Installation) -> None:
@@ -41,7 +41,7 @@
         let_rest(pair, server)
     started = time.monotonic()
     answers = [call(pair) for _ in range(6)]
-    assert time.monotonic() - started < REST / 2
+    assert time.monotonic() - started < REST_S / 2
     assert {answer.status_code for answer in answers} == {httpx.codes.SERVICE_UNAVAILABLE}
     assert sum(count_turned_away(pair, server) for server in ("desk-0", "desk-1")) == 2
-    assert all(0 < float(answer.headers["retry-after"]) <= REST for answer in answers)
+    assert all(0 < float(answer.headers["retry-after"]) <= REST_S for answer in answers)
--- a/tests/system/test_slots.py
+++ b/tests/system/test_slots.py
@@ -82,8 +82,8 @@
 def test_new_keys_are_served_after_an_owner_died(trio: Installation) -> None:
     trio.processes["entry-0"].kill()
     key = make_key()
-    told = post(trio, "entry-1", key)
-    assert told.is_success or told.json()["error"]["code"] in {"claim_owner_away", "key_too_old"}
+    answer = post(trio, "entry-1", key)
+    assert answer.is_success or answer.json()["error"]["code"] in {"claim_owner_away", "key_too_old"}
     for _ in range(20):
         post_until_served(trio, "entry-1")
 
