--- a/tests/node/test_ownership.py
+++ b/tests/node/test_ownership.py
@@ -242,10 +242,9 @@
 async def test_node_that_has_met_nobody_takes_no_slots_of_owners() -> None:
     """A node that has just started knows only itself, and must not treat owners that it doesn't know as gone.
 
-    Otherwise nodes that start together reassign each other's slots in turn: 17 maps within 0.1 s were seen, until one
-    named a node that all knew, and nodes missing from it owned nothing. In the log lines "slots assigned" the writer
-    then knows one node and takes 64 slots of three live owners. Each such map makes keys be refused for 8 s, so
-    unknown owners are asked first.
+    Otherwise nodes that start together reassign each other's slots in turn: 17 maps within 0.1 s were seen (log lines
+    "slots assigned" with one known node and 64 slots of three live owners), until one named a node that all knew; nodes
+    missing from it owned nothing. Each such map makes keys be refused for 8 s, so unknown owners are asked first.
     """
     store = FakeStore()
     make_owners(store, 3)
