--- a/packages/cli/src/vaneturn_cli/commands.py
+++ b/packages/cli/src/vaneturn_cli/commands.py
@@ -1,4 +1,4 @@
-"""The vaneturn command: arguments, and what each verb prints and returns."""
+"""The vaneturn command: its arguments, and what each subcommand prints and returns."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from vaneturn_cli.lossplot import plot_losses
 from vaneturn_cli.querying import run_prompt, run_statement
 from vaneturn_cli.reporting import report_change, report_no_answer
-from vaneturn_cli.traffic import NotThere, find_request, format_request, format_states, read_state
+from vaneturn_cli.traffic import NotFound, find_request, format_request, format_states, read_state
 from vaneturn_core.configuration.document import describe_schema
 from vaneturn_core.configuration.schema import Configuration
 from vaneturn_core.identifiers import ChangeId
@@ -43,32 +43,38 @@
 
 
 def _make_parser() -> argparse.ArgumentParser:
-    parser = argparse.ArgumentParser(prog="vaneturn", description="Ask and command the nodes of a vaneturn router.")
-    parser.add_argument("--nodes", default=os.environ.get(NODES_VARIABLE, ""), help="addresses of nodes, by comma")
-    parser.add_argument("--authority", type=Path, help="PEM file of the authority of the nodes' certificates")
+    parser = argparse.ArgumentParser(prog="vaneturn", description="Query and control the nodes of a vaneturn router.")
+    parser.add_argument(
+        "--nodes", default=os.environ.get(NODES_VARIABLE, ""), help="addresses of nodes, separated by commas"
+    )
+    parser.add_argument("--authority", type=Path, help="PEM file of the certificate authority of the nodes")
     parser.add_argument("--json", action="store_true", help="print JSON")
-    verbs = parser.add_subparsers(required=True, metavar="VERB")
-    _add_files(verbs.add_parser("check", help="check declarations"), check)
-    _add_files(verbs.add_parser("diff", help="compare declarations with what is in force"), diff)
-    applying = verbs.add_parser("apply", help="put declarations in force")
-    _add_files(applying, apply)
-    applying.add_argument("--change", default="", help="id of the change; the same id never applies twice")
-    applying.add_argument("--summary", default="", help="a line for the audit log")
-    asking = verbs.add_parser("change", help="tell whether a change took effect")
-    asking.add_argument("id")
-    asking.set_defaults(command=show_change)
-    querying = verbs.add_parser("query", help="carry out one line of the query and command language")
-    querying.add_argument("line")
-    querying.set_defaults(command=query)
-    verbs.add_parser(
-        "traffic", help="show the nodes and servers of the users' platform; --nodes gives metrics addresses"
+    subparsers = parser.add_subparsers(required=True, metavar="VERB")
+    _add_files(subparsers.add_parser("check", help="check declarations"), check)
+    _add_files(subparsers.add_parser("diff", help="compare declarations with the configuration in force"), diff)
+    apply_parser = subparsers.add_parser("apply", help="put declarations in force")
+    _add_files(apply_parser, apply)
+    apply_parser.add_argument(
+        "--change", default="", help="id of the change; a change with the same id is never applied twice"
+    )
+    apply_parser.add_argument("--summary", default="", help="one-line description for the audit log")
+    change_parser = subparsers.add_parser("change", help="show whether a change took effect")
+    change_parser.add_argument("id")
+    change_parser.set_defaults(command=show_change)
+    query_parser = subparsers.add_parser("query", help="run one line of the query and command language")
+    query_parser.add_argument("line")
+    query_parser.set_defaults(command=query)
+    subparsers.add_parser(
+        "traffic", help="show the nodes and servers of the users' platform; --nodes takes metrics addresses"
     ).set_defaults(command=show_traffic)
-    explaining = verbs.add_parser("explain", help="tell what became of a request on the users' platform")
-    explaining.add_argument("request")
-    explaining.set_defaults(command=explain)
-    _add_losses(verbs.add_parser("losses", help="tell from log lines which requests were late or not served, and why"))
-    verbs.add_parser("prompt", help="carry out lines from standard input").set_defaults(command=prompt)
-    verbs.add_parser("schema", help="print the JSON Schema of declarations").set_defaults(command=show_schema)
+    explain_parser = subparsers.add_parser("explain", help="show how a request on the users' platform was handled")
+    explain_parser.add_argument("request")
+    explain_parser.set_defaults(command=explain)
+    _add_losses(
+        subparsers.add_parser("losses", help="show from log lines which requests were late or not served, and why")
+    )
+    subparsers.add_parser("prompt", help="run lines from standard input").set_defaults(command=prompt)
+    subparsers.add_parser("schema", help="print the JSON Schema of declarations").set_defaults(command=show_schema)
     return parser
 
 
@@ -79,12 +85,14 @@
 
 def _add_losses(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
-        "files", nargs="*", type=Path, metavar="FILE", help="log lines of nodes; without: standard input"
+        "files", nargs="*", type=Path, metavar="FILE", help="log files of nodes; default: standard input"
     )
-    parser.add_argument("--first-event", type=float, default=0.5, help="seconds in which a stream should begin")
-    parser.add_argument("--pause", type=float, default=0.2, help="seconds that a stream may pause")
+    parser.add_argument("--first-event", type=float, default=0.5, help="seconds within which a stream should begin")
+    parser.add_argument("--pause", type=float, default=0.2, help="longest pause in seconds that a stream may make")
     parser.add_argument("--most", type=int, default=30, help="rows")
-    parser.add_argument("--plot", action="store_true", help="plot by second and by server; needs the extra 'plot'")
+    parser.add_argument(
+        "--plot", action="store_true", help="plot losses by second and by server; needs the extra 'plot'"
+    )
     parser.set_defaults(command=show_losses)
 
 
@@ -93,7 +101,7 @@
     return OperatorClient(nodes, os.environ.get(KEY_VARIABLE, ""), options.authority)
 
 
-def _load(options: argparse.Namespace) -> Configuration | None:
+def _load_or_report(options: argparse.Namespace) -> Configuration | None:
     declared = load_declarations(options.files)
     if isinstance(declared, Configuration):
         return declared
@@ -103,56 +111,56 @@
 
 
 def check(options: argparse.Namespace) -> Exit:
-    """Check declarations without any node."""
-    return Exit.FAULTY if _load(options) is None else Exit.DONE
+    """Check declarations without contacting a node."""
+    return Exit.INVALID_INPUT if _load_or_report(options) is None else Exit.DONE
 
 
 def diff(options: argparse.Namespace) -> Exit:
     """Compare declarations with the configuration in force."""
-    declared = _load(options)
+    declared = _load_or_report(options)
     if declared is None:
-        return Exit.FAULTY
-    present = _make_client(options).read_configuration()
-    if isinstance(present, NoAnswer):
-        return report_no_answer(present)
-    differences = compare_configurations(present, declared)
+        return Exit.INVALID_INPUT
+    current = _make_client(options).read_configuration()
+    if isinstance(current, NoAnswer):
+        return report_no_answer(current)
+    differences = compare_configurations(current, declared)
     for difference in differences:
         print(difference)
-    return Exit.DIFFERENT if differences else Exit.DONE
+    return Exit.DIFFERENT_OR_UNKNOWN if differences else Exit.DONE
 
 
 def apply(options: argparse.Namespace) -> Exit:
-    """Put declarations in force; VMs that are draining go on draining."""
-    declared = _load(options)
+    """Put declarations in force; draining VMs stay draining unless the declarations list draining VMs themselves."""
+    declared = _load_or_report(options)
     if declared is None:
-        return Exit.FAULTY
+        return Exit.INVALID_INPUT
     client = _make_client(options)
-    present = client.read_configuration()
-    if isinstance(present, NoAnswer):
-        return report_no_answer(present)
-    declared = msgspec.structs.replace(declared, draining=declared.draining or present.draining)
+    current = client.read_configuration()
+    if isinstance(current, NoAnswer):
+        return report_no_answer(current)
+    declared = msgspec.structs.replace(declared, draining=declared.draining or current.draining)
     change = ChangeId(options.change or uuid.uuid4().hex)
-    return report_change(change, client.propose(ProposalBody(change, options.summary, present.revision, declared)))
+    return report_change(change, client.propose(ProposalBody(change, options.summary, current.revision, declared)))
 
 
 def show_change(options: argparse.Namespace) -> Exit:
-    """Tell whether a change took effect."""
+    """Show whether a change took effect."""
     change = ChangeId(options.id)
     return report_change(change, _make_client(options).find_change(change))
 
 
 def query(options: argparse.Namespace) -> Exit:
-    """Carry out one line of the query and command language."""
+    """Run one line of the query and command language."""
     return run_statement(_make_client(options), options.line, as_json=options.json)
 
 
 def prompt(options: argparse.Namespace) -> Exit:
-    """Carry out lines from standard input."""
+    """Run lines from standard input."""
     return run_prompt(_make_client(options), as_json=options.json)
 
 
 def show_traffic(options: argparse.Namespace) -> Exit:
-    """Show the traffic of nodes on the users' platform, those that do not answer named."""
+    """Show the traffic of nodes on the users' platform, and report the nodes that do not answer."""
     answers = [read_state(node) for node in options.nodes.split(",") if node]
     states = [answer for answer in answers if isinstance(answer, TrafficState)]
     print(msgspec.json.encode(states).decode() if options.json else format_states(states))
@@ -163,7 +171,7 @@
 
 
 def explain(options: argparse.Namespace) -> Exit:
-    """Ask each node for a request until one knows it."""
+    """Ask the nodes for a request until one knows it, and show how it was handled."""
     answers = [find_request(node, options.request) for node in options.nodes.split(",") if node]
     for answer in answers:
         if isinstance(answer, TrafficRequest):
@@ -171,14 +179,14 @@
             return Exit.DONE
         if isinstance(answer, NoAnswer):
             report_no_answer(answer)
-    if any(isinstance(answer, NotThere) for answer in answers):
-        print(f"request {options.request}: not among the newest of these nodes", file=sys.stderr)
-        return Exit.DIFFERENT
+    if any(isinstance(answer, NotFound) for answer in answers):
+        print(f"request {options.request}: not among the newest requests of these nodes", file=sys.stderr)
+        return Exit.DIFFERENT_OR_UNKNOWN
     return Exit.NO_ANSWER
 
 
 def show_losses(options: argparse.Namespace) -> Exit:
-    """Tell from log lines which requests were late or not served, and why."""
+    """Show from log lines which requests were late or not served, and why."""
     try:
         with contextlib.ExitStack() as files:
             opened = [files.enter_context(path.open(errors="replace")) for path in options.files]
@@ -186,16 +194,16 @@
             table = read_lines(lines, Limits(options.first_event, options.pause))
     except OSError as error:
         print(f"{error.filename}: {error.strerror}", file=sys.stderr)
-        return Exit.FAULTY
+        return Exit.INVALID_INPUT
     print(msgspec.json.encode(table.list_rows()).decode() if options.json else format_losses(table, options.most))
     if options.plot and not options.json:
         try:
             print(f"\n{plot_losses(table)}")
         except ImportError:
             print("plotext is not installed: pip install 'vaneturn-cli[plot]'", file=sys.stderr)
-            return Exit.FAULTY
-    if table.faulty_lines:
-        print(f"{table.faulty_lines} lines not understood", file=sys.stderr)
+            return Exit.INVALID_INPUT
+    if table.invalid_lines:
+        print(f"{table.invalid_lines} lines could not be parsed", file=sys.stderr)
     return Exit.DONE
 
 
--- a/packages/cli/src/vaneturn_cli/querying.py
+++ b/packages/cli/src/vaneturn_cli/querying.py
@@ -1,4 +1,4 @@
-"""Carrying out statements of the query and command language."""
+"""Runs statements of the query and command language."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     WhyVm,
     parse_statement,
 )
-from vaneturn_cli.reasons import explain_ended, explain_session, explain_vm
+from vaneturn_cli.reasons import explain_ended_request, explain_session, explain_vm
 from vaneturn_cli.reporting import report_change, report_no_answer
 from vaneturn_cli.tables import Table, View, make_table
 from vaneturn_core.identifiers import ChangeId
@@ -32,18 +32,18 @@
 
 
 def run_statement(client: OperatorClient, line: str, *, as_json: bool) -> Exit:
-    """Carry out one line."""
+    """Run one line."""
     statement = parse_statement(line)
     if isinstance(statement, SyntaxFault):
         print(statement, file=sys.stderr)
-        return Exit.FAULTY
+        return Exit.INVALID_INPUT
     if isinstance(statement, Show | WhySession | WhyVm | WhyRefused):
         return _answer_query(client, statement, as_json=as_json)
-    return _carry_out(client, statement, line)
+    return _apply_edit(client, statement, line)
 
 
 def run_prompt(client: OperatorClient, *, as_json: bool) -> Exit:
-    """Carry out lines until the end of the input."""
+    """Run lines until the end of the input."""
     while True:
         try:
             line = input(PROMPT if sys.stdin.isatty() else "").strip()
@@ -55,19 +55,19 @@
             run_statement(client, line, as_json=as_json)
 
 
-def _take_view(client: OperatorClient) -> View | NoAnswer:
+def _fetch_view(client: OperatorClient) -> View | NoAnswer:
     taken_at = time.monotonic()
     configuration = client.read_configuration()
     if isinstance(configuration, NoAnswer):
         return configuration
     answers = [client.read_state(node) for node in client.nodes]
     states = tuple(answer for answer in answers if isinstance(answer, NodeState))
-    missing = tuple(answer for answer in answers if isinstance(answer, NoAnswer))
-    return View(configuration, states, missing, taken_at)
+    no_answers = tuple(answer for answer in answers if isinstance(answer, NoAnswer))
+    return View(configuration, states, no_answers, taken_at)
 
 
 def _answer_query(client: OperatorClient, query: Query, *, as_json: bool) -> Exit:
-    view = _take_view(client)
+    view = _fetch_view(client)
     if isinstance(view, NoAnswer):
         return report_no_answer(view)
     match query:
@@ -75,7 +75,7 @@
             table = make_table(topic, view, conditions)
             if isinstance(table, str):
                 print(table, file=sys.stderr)
-                return Exit.FAULTY
+                return Exit.INVALID_INPUT
             _print_table(table, view, as_json=as_json)
             return Exit.DONE
         case WhySession(request):
@@ -83,7 +83,7 @@
         case WhyVm(vm):
             lines = explain_vm(view, vm)
         case WhyRefused(request):
-            lines = explain_ended(request, client.find_ended(request))
+            lines = explain_ended_request(request, client.find_ended_request(request))
     print(msgspec.json.encode(lines).decode() if as_json else "\n".join(lines))
     print(view.describe(), file=sys.stderr)
     return Exit.DONE
@@ -98,16 +98,16 @@
     print(view.describe(), file=sys.stderr)
 
 
-def _carry_out(client: OperatorClient, edit: Edit, line: str) -> Exit:
-    present = client.read_configuration()
-    if isinstance(present, NoAnswer):
-        return report_no_answer(present)
-    edited = edit_configuration(present, edit)
+def _apply_edit(client: OperatorClient, edit: Edit, line: str) -> Exit:
+    current = client.read_configuration()
+    if isinstance(current, NoAnswer):
+        return report_no_answer(current)
+    edited = edit_configuration(current, edit)
     if isinstance(edited, str):
         print(edited, file=sys.stderr)
-        return Exit.FAULTY
+        return Exit.INVALID_INPUT
     change = ChangeId(uuid.uuid4().hex)
-    return report_change(change, client.propose(ProposalBody(change, line, present.revision, edited)))
+    return report_change(change, client.propose(ProposalBody(change, line, current.revision, edited)))
 
 
 __all__ = ["run_prompt", "run_statement"]
--- a/packages/cli/src/vaneturn_cli/traffic.py
+++ b/packages/cli/src/vaneturn_cli/traffic.py
@@ -1,4 +1,4 @@
-"""What nodes on the users' platform tell of their traffic."""
+"""Reads and formats the traffic state of nodes on the users' platform."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from vaneturn_cli.client import NoAnswer
 from vaneturn_core.traffic.state import SeenServer, TrafficRequest, TrafficState
 
-TIMEOUT: Final = 3.0  # seconds; a node answers from memory
+TIMEOUT_S: Final = 3.0  # seconds; a node answers from memory
 STEP_INDENT: Final = "  "
 SERVER_COLUMNS: Final = (
     "server", "service", "data hall", "address", "state", "layers", "in progress", "rests s", "slowness", "limit /s",
@@ -23,30 +23,30 @@
 
 
 @dataclass(frozen=True)
-class NotThere:
-    """The node does not know the request."""
+class NotFound:
+    """The node answered 404 Not Found: it does not know the request, or has no such path."""
 
 
 def read_state(node: str) -> TrafficState | NoAnswer:
-    """Read what a node believes, at its metrics address."""
+    """Read the traffic state of a node from its metrics address."""
     answer = _get(node, "/state", TrafficState)
-    return NoAnswer(node, "no state there") if isinstance(answer, NotThere) else answer
+    return NoAnswer(node, "no traffic state at this address") if isinstance(answer, NotFound) else answer
 
 
-def find_request(node: str, request: str) -> TrafficRequest | NotThere | NoAnswer:
-    """Ask a node what became of a request."""
+def find_request(node: str, request: str) -> TrafficRequest | NotFound | NoAnswer:
+    """Ask a node how it handled a request."""
     return _get(node, f"/requests/{request}", TrafficRequest)
 
 
-def _get(node: str, path: str, kind: type[_Body]) -> _Body | NotThere | NoAnswer:
+def _get(node: str, path: str, body_type: type[_Body]) -> _Body | NotFound | NoAnswer:
     try:
-        response = httpx.get(f"http://{node}{path}", timeout=TIMEOUT)
+        response = httpx.get(f"http://{node}{path}", timeout=TIMEOUT_S)
     except httpx.HTTPError as error:
         return NoAnswer(node, type(error).__name__)
     if response.status_code == httpx.codes.NOT_FOUND:
-        return NotThere()
+        return NotFound()
     try:
-        return msgspec.json.decode(response.content, type=kind)
+        return msgspec.json.decode(response.content, type=body_type)
     except msgspec.DecodeError as error:
         return NoAnswer(node, str(error))
 
@@ -55,15 +55,24 @@
     """Format the nodes, and the servers as the first of them sees them."""
     nodes = tabulate(
         [
-            (s.vm, s.version, s.age, s.is_ready, s.is_stopping, s.has_tenure, s.relay or "store", s.in_progress)
-            for s in states
+            (
+                state.vm,
+                state.version,
+                state.age,
+                state.is_ready,
+                state.is_stopping,
+                state.has_tenure,
+                state.relay or "store",
+                state.in_progress,
+            )
+            for state in states
         ],
         headers=("vm", "version", "age s", "ready", "stopping", "tenure", "asks", "in progress"),
     )
     if not states:
         return nodes
     servers = tabulate(
-        [_list_cells(server) for server in sorted(states[0].servers, key=lambda one: (one.service, one.data_hall))],
+        [_list_cells(server) for server in sorted(states[0].servers, key=lambda seen: (seen.service, seen.data_hall))],
         headers=SERVER_COLUMNS,
     )
     return f"{nodes}\n\nservers as {states[0].vm} sees them\n{servers}"
@@ -78,7 +87,7 @@
 
 
 def format_request(request: TrafficRequest) -> str:
-    """Format what became of a request, step by step."""
+    """Format how a request was handled, step by step."""
     lines = [
         f"request {request.request}: {request.ending} after {request.seconds:.3f} s",
         f"route {request.route or 'none'}, customer {request.customer or 'none'}",
@@ -93,4 +102,4 @@
     return "\n".join(lines)
 
 
-__all__ = ["NotThere", "find_request", "format_request", "format_states", "read_state"]
+__all__ = ["NotFound", "find_request", "format_request", "format_states", "read_state"]
--- a/packages/node/src/vaneturn_node/traffic/sharing/crashsharing.py
+++ b/packages/node/src/vaneturn_node/traffic/sharing/crashsharing.py
@@ -1,8 +1,8 @@
-"""Nodes tell each other which requests had just begun on servers that ended: at once, over the relays.
+"""Exchanges reports of crashed servers and the requests that had just begun on them, over the relays.
 
-A client whose request has ended a server is back within 0.1 s, at any node. The word is therefore pushed on as soon as
-it comes, also while the store is away; questions to a relay carry a checksum, so that a node that was frozen, cut off
-or started anew gets what it lacks with its next one.
+A client whose request crashed a server retries within 0.1 s, at any node. Reports are therefore pushed at once, even
+while the store is unavailable. Requests to a relay carry a checksum, so that a node that was frozen, disconnected or
+restarted gets the missing reports after its next request.
 """
 
 from __future__ import annotations
@@ -16,27 +16,28 @@
 
 from vaneturn_core.identifiers import VmId
 from vaneturn_core.traffic.contents import Content
-from vaneturn_core.traffic.crashes import CrashBoard, ServerEnd, Suspicion
+from vaneturn_core.traffic.crashes import CrashBoard, ServerCrash, Suspicion
 from vaneturn_core.traffic.relays import list_relays, rank_relays
 from vaneturn_core.traffic.servers import ServerId
 from vaneturn_core.traffic.view import PlatformView
 from vaneturn_node.clock import read_clock
 from vaneturn_node.http1.caller import Caller
 from vaneturn_node.traffic.servers.signals import Signal
-from vaneturn_node.traffic.sharing.peerwords import send_word
+from vaneturn_node.traffic.sharing.peerwords import send_message
 
 CRASHES_PATH: Final = "/crashes"
-GATHER: Final = 0.01  # seconds from a change to the word of it: requests on one server find its end together
-TELL_GAP: Final = 0.1  # seconds between two words of a node
-TELL_TIME: Final = 0.3  # seconds for a word; checksums show when it was lost
-TELL_AGAIN: Final = 2.0  # seconds until a node that still knows something else is told the same again: with more ends
-# than are kept, two nodes may never know the same
+GATHER_TIME_S: Final = 0.01  # time from a change to its report; all requests on a server notice its crash together
+REPORT_GAP_S: Final = 0.1  # time between two reports of a node
+REPORT_TIMEOUT_S: Final = 0.3  # time until a report times out; checksums reveal lost reports
+# Seconds until the same report is sent again to a node with a different checksum. If there are more crashes than are
+# kept, the checksums of two nodes may never agree.
+REPEAT_AFTER_S: Final = 2.0
 
 logger = logging.getLogger(__name__)
 
 
-class EndRow(Struct, array_like=True):
-    """The end of a server, as it travels."""
+class CrashRow(Struct, array_like=True):
+    """The crash of a server, as sent between nodes."""
 
     server: str
     age: float  # seconds
@@ -44,16 +45,16 @@
     suspects: list[tuple[int, int]]  # content and suspicion
 
 
-class CrashWord(Struct):
-    """All that a node knows of ends."""
+class CrashReport(Struct):
+    """All crashes that a node knows of."""
 
     vm: VmId
-    check: int  # of what it knows
-    ends: list[EndRow]
+    check: int  # checksum of the crashes
+    ends: list[CrashRow]
 
 
 class CrashSharing:
-    """One task, and what the words of others do to this node."""
+    """Sends crash reports to other nodes from one task, and handles theirs."""
 
     def __init__(self, vm: VmId, board: CrashBoard, view: PlatformView, caller: Caller) -> None:
         self._vm = vm
@@ -61,64 +62,64 @@
         self._view = view
         self._caller = caller
         self._has_news = Signal()
-        self._told = board.check  # what those that this node tells know from it
-        self._behind: set[VmId] = set()  # nodes that know something else
-        self._answered: dict[VmId, tuple[int, int, float]] = {}  # both checksums, and when the node was told for them
-        board.listeners.append(self._has_news.give)
+        self._reported_check = board.check  # checksum of what this node has reported
+        self._differing: set[VmId] = set()  # nodes whose checksum differs
+        self._reported_to: dict[VmId, tuple[int, int, float]] = {}  # their checksum, the own one, time of the report
+        board.listeners.append(self._has_news.notify)
 
     @property
     def check(self) -> int:
-        """Give a checksum of what this node knows."""
+        """Checksum of the crashes that this node knows of."""
         return self._board.check
 
     async def run(self) -> None:
-        """Tell until cancelled."""
+        """Send reports until cancelled."""
         while True:
             await self._has_news.wait()
-            await anyio.sleep(GATHER)
-            await self._tell()
-            await anyio.sleep(TELL_GAP)
+            await anyio.sleep(GATHER_TIME_S)
+            await self._send_reports()
+            await anyio.sleep(REPORT_GAP_S)
 
     def compare(self, vm: VmId, check: int) -> None:
-        """Compare with what another node knows; it is told what this one knows when that differs."""
+        """Compare the checksum of another node with the own one; if they differ, send a report to that node."""
         own, now = self._board.check, read_clock()
         if check == own:
             return
-        told_check, told_own, told_at = self._answered.get(vm, (own, own, float("-inf")))
-        if (told_check, told_own) == (check, own) and now < told_at + TELL_AGAIN:
+        reported_check, reported_own, reported_at = self._reported_to.get(vm, (own, own, float("-inf")))
+        if (reported_check, reported_own) == (check, own) and now < reported_at + REPEAT_AFTER_S:
             return
-        self._answered = {one: told for one, told in self._answered.items() if one in self._view.nodes}
-        self._answered[vm] = check, own, now
-        self._behind.add(vm)
-        self._has_news.give()
+        self._reported_to = {node: reported for node, reported in self._reported_to.items() if node in self._view.nodes}
+        self._reported_to[vm] = check, own, now
+        self._differing.add(vm)
+        self._has_news.notify()
 
     def take(self, body: bytes) -> None:
-        """Take the word of another node."""
+        """Handle the report of another node."""
         try:
-            word = msgspec.json.decode(body, type=CrashWord)
-            ends = unpack_ends(word.ends, read_clock())
+            report = msgspec.json.decode(body, type=CrashReport)
+            crashes = unpack_crashes(report.ends, read_clock())
         except (msgspec.DecodeError, ValueError) as error:
-            logger.warning("word on ended servers not understood", extra={"fault": str(error)})
+            logger.warning("report of crashed servers not understood", extra={"fault": str(error)})
             return
-        if self._board.join(ends):
-            logger.info("ended servers told", extra={"servers": sorted(ends), "teller": word.vm})
+        if self._board.join(crashes):
+            logger.info("ended servers told", extra={"servers": sorted(crashes), "teller": report.vm})
             if self._vm not in list_relays(self._view.nodes):
-                self._told = self._board.check  # its relay has told it
-        self.compare(word.vm, word.check)
-
-    async def _tell(self) -> None:
-        targets = self._list_targets() if self._told != self._board.check else set()
-        targets |= self._behind
-        self._told, self._behind = self._board.check, set()
-        word = CrashWord(self._vm, self._board.check, pack_ends(self._board.list_ends(), read_clock()))
+                self._reported_check = self._board.check  # received from its relay, which needs no report of it
+        self.compare(report.vm, report.check)
+
+    async def _send_reports(self) -> None:
+        targets = self._list_targets() if self._reported_check != self._board.check else set()
+        targets |= self._differing
+        self._reported_check, self._differing = self._board.check, set()
+        report = CrashReport(self._vm, self._board.check, pack_crashes(self._board.list_crashes(), read_clock()))
         async with anyio.create_task_group() as tasks:
             for target in targets:
                 address = self._view.nodes.get(target)
                 if address is not None and target != self._vm:
-                    tasks.start_soon(send_word, self._caller, address, CRASHES_PATH, TELL_TIME, word)
+                    tasks.start_soon(send_message, self._caller, address, CRASHES_PATH, REPORT_TIMEOUT_S, report)
 
     def _list_targets(self) -> set[VmId]:
-        """List whom to tell: the own relay, or as a relay the other relays and all that ask this one."""
+        """List the nodes to report to: its own relay or, on a relay, the other relays and its followers."""
         nodes = self._view.nodes
         ranked = rank_relays(self._vm, nodes)
         if ranked:
@@ -127,25 +128,32 @@
         return {node for node in nodes if node in relays or rank_relays(node, nodes)[0] == self._vm}
 
 
-def pack_ends(ends: dict[ServerId, ServerEnd], now: float) -> list[EndRow]:
-    """Pack ends with their ages."""
+def pack_crashes(crashes: dict[ServerId, ServerCrash], now: float) -> list[CrashRow]:
+    """Pack crashes with their ages."""
     return [
-        EndRow(server, round(now - end.at, 3), end.software, [(one, int(word)) for one, word in end.suspects.items()])
-        for server, end in ends.items()
+        CrashRow(
+            server,
+            round(now - crash.at, 3),
+            crash.software,
+            [(content, int(suspicion)) for content, suspicion in crash.suspects.items()],
+        )
+        for server, crash in crashes.items()
     ]
 
 
-def unpack_ends(rows: list[EndRow], now: float) -> dict[ServerId, ServerEnd]:
-    """Unpack ends that have their ages at a steady time.
+def unpack_crashes(rows: list[CrashRow], now: float) -> dict[ServerId, ServerCrash]:
+    """Unpack crashes whose ages count from a monotonic time.
 
-    :raises ValueError: a row holds no such suspicion.
+    :raises ValueError: a row contains an unknown suspicion.
     """
     return {
-        ServerId(row.server): ServerEnd(
-            now - max(0.0, row.age), row.software, {Content(one): Suspicion(word) for one, word in row.suspects}
+        ServerId(row.server): ServerCrash(
+            now - max(0.0, row.age),
+            row.software,
+            {Content(content): Suspicion(suspicion) for content, suspicion in row.suspects},
         )
         for row in rows
     }
 
 
-__all__ = ["CRASHES_PATH", "CrashSharing", "CrashWord", "pack_ends", "unpack_ends"]
+__all__ = ["CRASHES_PATH", "CrashReport", "CrashSharing", "pack_crashes", "unpack_crashes"]
--- a/tests/node/traffic/sharing/test_difference.py
+++ b/tests/node/traffic/sharing/test_difference.py
@@ -1,4 +1,4 @@
-"""Differences of long values: what comes out is what went in, or nothing."""
+"""Differences of long values: applying one gives the original value or an error."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def make_value(**changed: Any) -> bytes:
-    """Make a configuration of as many routes as operators have written."""
+    """Make a configuration with as many routes as operators use."""
     texts = random.Random(1)
     routes = [
         {
@@ -68,16 +68,16 @@
     ids=["before", "none", "after", "behind", "backwards", "too long"],
 )
 def test_difference_from_another_base_is_not_taken(steps: list[tuple[int, int]]) -> None:
-    with pytest.raises(ValueError, match=r"base|over"):
+    with pytest.raises(ValueError, match=r"base|exceeds"):
         apply_difference(b"a}b}c", pack(msgspec.msgpack.encode(steps)), b"12345678")
 
 
 def test_other_value_than_was_meant_is_not_taken() -> None:
     difference = compute_difference(b"a}b}c", b"a}c")
-    with pytest.raises(ValueError, match="made for"):
+    with pytest.raises(ValueError, match="does not match its digest"):
         apply_difference(b"a}b}d", difference, compute_digest(b"a}c"))
 
 
 def test_too_long_value_is_not_unpacked() -> None:
-    with pytest.raises(ValueError, match="over"):
+    with pytest.raises(ValueError, match="exceeds"):
         unpack(zlib.compress(b"x" * (MAX_VALUE_BYTES + 1)))
--- a/tests/standins/platform/servers.py
+++ b/tests/standins/platform/servers.py
@@ -35,64 +35,62 @@
 
 @dataclass
 class Run:
-    """One request that a server began to work on."""
+    """One request that a server began to run."""
 
     request: str
     server: str
     headers: dict[str, str]
     body: bytes
-    tokens: list[list[Part]] = field(default_factory=list)  # the chain of each token that was made
-    chains: list[list[Part]] = field(default_factory=list)  # that it was to go over; the last one is in force
+    tokens: list[list[Part]] = field(default_factory=list)  # the chain that produced each token
+    chains: list[list[Part]] = field(default_factory=list)  # chains assigned to the request; the last one is in force
     was_cut: bool = False
     started: float = field(default_factory=time.monotonic)
 
 
 @dataclass
 class Fleet:
-    """All servers of a test, and what they have run."""
+    """All servers of a test, and the requests that they ran."""
 
     store: Store
     tasks: TaskGroup
     layers: int = 8
     token_time: float = 0.01
     answer_tokens: int = 10
-    find_link: FindLink = find_no_link  # of the node that has called
-    deadly: bytes | None = None  # body of a request that ends each server that begins to run it
-    deadly_after: float = 0.03  # seconds from the beginning of its run to the end of the server
-    restart_time: float = 0.5  # seconds from that end to the next start at the same address
-    tells_births: bool = False  # whether servers say when they started
-    ended: list[tuple[float, str]] = field(
-        default_factory=list
-    )  # addresses of servers that ended so, with the steady time
+    find_link: FindLink = find_no_link  # finds the link of the calling node
+    crash_body: bytes | None = None  # body of a request that crashes each server that begins to run it
+    crash_delay: float = 0.03  # seconds from the start of that request to the crash
+    restart_time: float = 0.5  # seconds from that crash to the next start at the same address
+    reports_births: bool = False  # whether servers report when they started
+    crashes: list[tuple[float, str]] = field(default_factory=list)  # monotonic time and address of each crash
     runs: list[Run] = field(default_factory=list)
     record: DirectiveRecord = field(default_factory=DirectiveRecord)
     servers: dict[str, Server] = field(default_factory=dict)  # by address
-    _numbers: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
+    _server_numbers: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
 
     async def add(self, address: str, service: str, hall: str, kind: str | None) -> Server:
-        server = Server(self, f"i-{next(self._numbers):04x}", address, service, hall, kind)
+        server = Server(self, f"i-{next(self._server_numbers):04x}", address, service, hall, kind)
         self.servers[address] = server
         await server.start()
         return server
 
-    async def end(self, server: Server) -> None:
-        """Let a server end by itself, and start again after some time; it holds nothing then."""
-        self.ended.append((time.monotonic(), server.address))
+    async def crash_and_restart(self, server: Server) -> None:
+        """Crash a server and start it again after some time; it holds no layers then."""
+        self.crashes.append((time.monotonic(), server.address))
         await server.crash()
         await anyio.sleep(self.restart_time)
-        if self.tells_births:
-            await self.start_again(server)
+        if self.reports_births:
+            await self.restart(server)
             return
         self.store.remove(f"servers/{server.id}")
         await self.add(server.address, server.service, server.hall, server.kind)
 
-    async def start_again(self, server: Server) -> Server:
-        """Start a server that has ended again, under its id and address; it holds nothing and has begun no order."""
-        again = Server(self, server.id, server.address, server.service, server.hall, server.kind)
-        again.work_time, again.load_time = server.work_time, server.load_time
-        self.servers[server.address] = again
-        await again.start()
-        return again
+    async def restart(self, server: Server) -> Server:
+        """Restart a crashed server under its id and address; it holds no layers and has begun no order."""
+        restarted = Server(self, server.id, server.address, server.service, server.hall, server.kind)
+        restarted.work_time, restarted.load_time = server.work_time, server.load_time
+        self.servers[server.address] = restarted
+        await restarted.start()
+        return restarted
 
     def find_runs(self, request: str) -> list[Run]:
         return [run for run in self.runs if run.request == request]
@@ -107,22 +105,22 @@
     address: str
     service: str
     hall: str
-    kind: str | None  # of its accelerator; none for a plain service
+    kind: str | None  # of its accelerator; None for a plain service
     state: str = "ready"
     held: tuple[int, int] | None = None
-    is_dark: bool = False  # neither answers nor resets
+    is_unresponsive: bool = False  # neither answers calls nor resets connections
     is_crashed: bool = False
     is_loading: bool = False
     orders: int = 0
     fence: int = 0
-    late_orders: float = 0.0  # seconds for which an order is left unanswered before it is carried out
+    order_delay: float = 0.0  # seconds before an order is carried out; such an order is never answered
     load_time: float = 0.05
     born: int = field(default_factory=lambda: time.time_ns() // 1_000_000)  # Unix milliseconds
-    spoil: Callable[[Exchange, Run], Any] | None = None  # in place of a sound answer
-    work_time: float = 0.01  # of a plain service
-    rate_limit: float | None = None  # requests a second from all nodes, named in its answers
-    rest: float | None = None  # seconds of rest that it asks for as it turns requests away
-    says_leaving: bool = False  # in its answers, whatever the list says
+    fault_handler: Callable[[Exchange, Run], Any] | None = None  # sends a faulty answer in place of the correct one
+    work_time: float = 0.01  # seconds that a plain service works on a request
+    rate_limit: float | None = None  # requests per second from all nodes, stated in its answers
+    rest: float | None = None  # seconds of rest that it asks for when it rejects requests
+    announces_leaving: bool = False  # in its answers, whatever its entry in the store says
     active: dict[str, Run] = field(default_factory=dict)  # the newest run of each request
     _listener: Listener[SocketStream] | None = None
     _open: set[Exchange] = field(default_factory=set)
@@ -132,7 +130,7 @@
         self.announce()
 
     def announce(self) -> None:
-        """Write the entry into the store."""
+        """Write the server's entry to the store."""
         entry: dict[str, Any] = {
             "service": self.service, "addr": self.address, "zone": self.hall, "version": "v1",
             "slots": 8, "state": self.state, "cold_left_ms": 0, "seq": 1,
@@ -141,12 +139,12 @@
             layers = [{"from": self.held[0], "target_version": self.held[1], "version": 1}] if self.held else []
             entry |= {"route_type": self.kind, "models": [{"name": "m", "version": 1, "adapters": []}] * bool(layers)}
             entry["layers"] = layers
-        if self.fleet.tells_births:
+        if self.fleet.reports_births:
             entry["born"] = self.born
         self.fleet.store.put(f"servers/{self.id}", json.dumps(entry).encode())
 
     async def crash(self, *, is_listed: bool = True) -> None:
-        """Reset all connections and listen no more."""
+        """Stop listening and reset all connections."""
         self.is_crashed = True
         if self._listener is not None:
             await self._listener.aclose()
@@ -154,7 +152,7 @@
             self.fleet.store.remove(f"servers/{self.id}")
 
     async def _answer(self, exchange: Exchange) -> None:
-        if self.is_dark:
+        if self.is_unresponsive:
             await exchange.watch_client()
             await exchange.close()
         if self.is_crashed:
@@ -184,7 +182,7 @@
 
     def _list_directives(self) -> dict[str, str]:
         directives = {"Server-Limit": str(self.rate_limit)} if self.rate_limit is not None else {}
-        return directives | ({"Server-Leaving": "1"} if self.says_leaving else {})
+        return directives | ({"Server-Leaving": "1"} if self.announces_leaving else {})
 
     def _report(self) -> dict[str, Any]:
         layers = [{"from": self.held[0], "target_version": self.held[1], "version": 1}] if self.held else []
@@ -193,9 +191,9 @@
             lost = next((part for part in run.chains[-1] if not self._is_alive(part)), None)
             if lost is not None:
                 stalled.append({"id": request, "addr": lost.address})
-        born = {"born": self.born} if self.fleet.tells_births else {}
-        told = {"seq": self.orders, "utilization": self.is_loading, "layers": layers, "stalled": stalled, "pace": 1.0}
-        return {**told, **born}
+        born = {"born": self.born} if self.fleet.reports_births else {}
+        report = {"seq": self.orders, "utilization": self.is_loading, "layers": layers, "stalled": stalled, "pace": 1.0}
+        return {**report, **born}
 
     async def _take_order(self, exchange: Exchange, order: dict[str, Any]) -> None:
         if order.get("fence", self.fence) < self.fence:
@@ -204,8 +202,8 @@
         if order["op"] == "repath":
             await self._change_chain(exchange, order)
             return
-        if self.late_orders:
-            self.fleet.tasks.start_soon(self._place_late, order)
+        if self.order_delay:
+            self.fleet.tasks.start_soon(self._place_after_delay, order)
             await exchange.watch_client()
             await exchange.close()
         if order.get("expected_rev", self.orders) != self.orders:
@@ -214,8 +212,8 @@
         await self._place(order)
         await exchange.reply(202)
 
-    async def _place_late(self, order: dict[str, Any]) -> None:
-        await anyio.sleep(self.late_orders)
+    async def _place_after_delay(self, order: dict[str, Any]) -> None:
+        await anyio.sleep(self.order_delay)
         if order.get("expected_rev", self.orders) == self.orders:
             await self._place(order)
 
@@ -245,7 +243,7 @@
 
     def _is_alive(self, part: Part) -> bool:
         server = self.fleet.servers.get(part.address)
-        if server is None or server.is_dark or server.is_crashed or server.held is None:
+        if server is None or server.is_unresponsive or server.is_crashed or server.held is None:
             return False
         return server.held[0] <= part.first and part.end <= server.held[1]
 
@@ -253,11 +251,11 @@
         call = exchange.call
         run = Run(call.headers["x-request-id"], self.id, call.headers, call.body)
         self.fleet.runs.append(run)
-        if call.body == self.fleet.deadly:
-            await self._end_by(exchange)
+        if call.body == self.fleet.crash_body:
+            await self._crash_on(exchange)
         await anyio.sleep(self.work_time)
-        if self.spoil is not None:
-            await self.spoil(exchange, run)
+        if self.fault_handler is not None:
+            await self.fault_handler(exchange, run)
             return
         await exchange.reply(200, self._sign(exchange, run), b"answer to " + run.request.encode())
 
@@ -280,29 +278,30 @@
         self.fleet.runs.append(run)
         self.active[request] = run
         try:
-            if call.body == self.fleet.deadly:
+            if call.body == self.fleet.crash_body:
                 await exchange.begin(200, {**self._sign(exchange, run), "Content-Type": "text/event-stream"})
-                await self._end_by(exchange)
-            if self.spoil is not None:
-                await self.spoil(exchange, run)
+                await self._crash_on(exchange)
+            if self.fault_handler is not None:
+                await self.fault_handler(exchange, run)
                 return
             await self._stream(exchange, run)
         finally:
-            if self.active.get(request) is run:  # it may have come anew before this run was found to be left
+            # The request may have arrived again before this run noticed that its client left.
+            if self.active.get(request) is run:
                 del self.active[request]
 
-    async def _end_by(self, exchange: Exchange) -> None:
-        """Run a request that ends this server."""
-        await anyio.sleep(self.fleet.deadly_after)
+    async def _crash_on(self, exchange: Exchange) -> None:
+        """Run a request that crashes this server."""
+        await anyio.sleep(self.fleet.crash_delay)
         if not self.is_crashed:
-            self.fleet.tasks.start_soon(self.fleet.end, self)
+            self.fleet.tasks.start_soon(self.fleet.crash_and_restart, self)
             await anyio.lowlevel.checkpoint()
         await exchange.reset()
 
     async def _stream(self, exchange: Exchange, run: Run) -> None:
         start = int(run.headers.get("last-event-id", "0"))
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._cut_when_left, exchange, run, tasks)
+            tasks.start_soon(self._stop_when_client_leaves, exchange, run, tasks)
             for number in range(start + 1, self.fleet.answer_tokens + 1):
                 await self._make_token(exchange, run)
                 if number == start + 1:
@@ -311,13 +310,13 @@
             await exchange.end()
             tasks.cancel_scope.cancel()
 
-    async def _cut_when_left(self, exchange: Exchange, run: Run, tasks: TaskGroup) -> None:
+    async def _stop_when_client_leaves(self, exchange: Exchange, run: Run, tasks: TaskGroup) -> None:
         await exchange.watch_client()
         run.was_cut = True
         tasks.cancel_scope.cancel()
 
     async def _make_token(self, exchange: Exchange, run: Run) -> None:
-        """Make a token over the chain in force; wait while a part of it is lost."""
+        """Produce a token over the chain in force; wait while a server of the chain is lost."""
         await anyio.sleep(self.fleet.token_time)
         while not all(self._is_alive(part) for part in run.chains[-1]):
             if self.is_crashed:
--- a/tests/system/platform/test_deadly.py
+++ b/tests/system/platform/test_deadly.py
@@ -1,16 +1,15 @@
-"""A request ended each server that began to run it, and came again, at any node, under a new id.
+"""A request that crashes each server that begins to run it must be stopped, although clients retry it at any node.
 
-Nothing remembered it. A node took the end of a server for the loss of one: it sent the request on to the next server,
-which ended as well, and when that had failed too the client came back and another node began anew. In one recorded
-day 26 first servers of chains ended so, the three halls lost theirs within 0.64 s, and each server that was back ended
-under its first requests:
+Each retry has a new id. If a node takes such a crash for the loss of a server, it sends the request to the next server,
+which crashes as well, and then the client retries at another node. In this way the first servers of three halls can be
+lost within 0.64 s, 26 first servers in a day, and each restarted server crashes again under its first requests:
 
     "steps": ["1ms over i-38aea83532[0,8) ...", "120ms not an answer: peer closed connection without sending complete
     message body", "120ms over i-53e14f9e4f[0,24) ...", "363ms not an answer: ...", "363ms answer broken off"],
     "events": 0
 
-The same customer and route stood so, without an event, at each of the eight ends of which the nodes' lines are kept;
-the others that were there had had events before, or were whole elsewhere.
+At each of eight such crashes a request of the same customer and route had not had an event yet; the other requests on
+these servers had had events before, or completed elsewhere.
 """
 
 from __future__ import annotations
@@ -30,8 +29,8 @@
 pytestmark = pytest.mark.anyio
 
 DEADLY = b"a letter that ends servers"
-MOST_SENDS = 3  # that the users allow once a request has ended three servers and nodes have had time to hear of it
-HEARING_TIME = 1.0  # seconds that nodes are given for it; the users give 3
+MOST_SENDS = 3  # allowed once a request has crashed three servers and the nodes have had time to learn of it
+HEARING_TIME = 1.0  # seconds for the nodes to learn of it; 3 are allowed
 
 
 @pytest.fixture
@@ -41,7 +40,7 @@
 
 
 async def send_deadly(traffic: Traffic, node: int) -> int | None:
-    """Send the request as a client does; gives the status, none when the answer was broken off."""
+    """Send the request as a client does; return the status, or None if the answer was aborted."""
     try:
         return (await traffic.ask_for(DEADLY, "/letter/1", node)).status_code
     except httpx.HTTPError:
@@ -50,23 +49,23 @@
 
 async def test_request_that_ends_its_servers_reaches_few_of_them(three: Traffic) -> None:
     await three.add_chains(halls=("east", "west", "north"))
-    three.fleet.deadly = DEADLY
+    three.fleet.crash_body = DEADLY
     third = float("inf")
     for number in range(24):
         await send_deadly(three, number % 3)
         await anyio.sleep(0.25)
-        if third == float("inf") and len(three.fleet.ended) >= 3:
-            third = three.fleet.ended[2][0]
+        if third == float("inf") and len(three.fleet.crashes) >= 3:
+            third = three.fleet.crashes[2][0]
         if time.monotonic() > third + 5:
             break
     runs = [run for run in three.fleet.runs if run.body == DEADLY and run.started > third + HEARING_TIME]
-    assert len(runs) <= MOST_SENDS, f"{len(three.fleet.ended)} servers ended"
+    assert len(runs) <= MOST_SENDS, f"{len(three.fleet.crashes)} servers ended"
     answer = await three.ask("/letter/1")
     assert list_ids(answer.text) == list(range(1, 11))
 
 
 async def bar(traffic: Traffic, path: str = "/letter/1") -> None:
-    """Let the request end servers until a node answers it finally, and the others have heard of it."""
+    """Let the request crash servers until a node bars it, and give the other nodes time to learn of it."""
     for _ in range(4):
         try:
             answer = await traffic.ask_for(DEADLY, path)
@@ -79,41 +78,41 @@
 
 async def test_final_answer_names_the_cause_and_asks_nobody_to_come_back(three: Traffic) -> None:
     await three.add_chains(halls=("east", "west", "north"))
-    three.fleet.deadly = DEADLY
+    three.fleet.crash_body = DEADLY
     await bar(three)
-    ended = len(three.fleet.ended)
+    crashes = len(three.fleet.crashes)
     for node in range(3):
         answer = await three.ask_for(DEADLY, "/letter/1", node, X_Request_Id=f"last-{node}")
         assert answer.status_code == 400
         assert answer.json()["error"] == "ends_servers"
         assert "retry-after" not in answer.headers
         assert not three.fleet.find_runs(f"last-{node}")
-    assert len(three.fleet.ended) == ended == 2
+    assert len(three.fleet.crashes) == crashes == 2
 
 
 async def test_answer_without_an_event_is_not_broken_off(three: Traffic) -> None:
-    """The servers that ended had answered 200; the client had nothing of it and comes back for a connection closed."""
+    """The crashed servers had answered 200, but no event reached the client, which would retry a closed connection."""
     await three.add_chains(halls=("east", "west", "north"))
-    three.fleet.deadly = DEADLY
+    three.fleet.crash_body = DEADLY
     answer = await three.ask_for(DEADLY, "/letter/1")
     assert (answer.status_code, answer.json()["error"]) == (400, "ends_servers")
-    assert len(three.fleet.ended) == 2
+    assert len(three.fleet.crashes) == 2
 
 
 async def test_others_with_another_body_caller_or_place_are_served(three: Traffic) -> None:
     await three.add_chains(halls=("east", "west", "north"))
-    three.fleet.deadly = DEADLY
+    three.fleet.crash_body = DEADLY
     await bar(three)
-    three.fleet.deadly = None
+    three.fleet.crash_body = None
     answers = [await three.ask_for(DEADLY, "/letter/2", node) for node in range(3)]
     answers += [await three.ask("/letter/1", node=node) for node in range(3)]
     assert [answer.status_code for answer in answers] == [200] * 6
 
 
 async def test_bystanders_are_served(three: Traffic) -> None:
-    """Streams that run on the servers that end, begun long before it or with it."""
+    """Streams on the crashing servers are served, whether they began long before the crash or at the same time."""
     await three.add_chains(halls=("east", "west", "north"))
-    three.fleet.answer_tokens, three.fleet.token_time, three.fleet.deadly_after = 100, 0.02, 0.1
+    three.fleet.answer_tokens, three.fleet.token_time, three.fleet.crash_delay = 100, 0.02, 0.1
     statuses: list[int | None] = []
     async with anyio.create_task_group() as tasks:
 
@@ -129,7 +128,7 @@
         for number in range(12):
             tasks.start_soon(ask, number)
             await anyio.sleep(0.1)
-        three.fleet.deadly = DEADLY
+        three.fleet.crash_body = DEADLY
         tasks.start_soon(bar, three)
         for number in range(12, 18):
             tasks.start_soon(ask, number)
@@ -147,12 +146,12 @@
         await exchange.reset()
 
     for server in servers:
-        server.spoil = reset
+        server.fault_handler = reset
     for number in range(6):
         answer = await three.ask("/letter/1", node=number % 3)
         assert answer.status_code in {502, 503}
     for server in servers:
-        server.spoil = None
+        server.fault_handler = None
     await anyio.sleep(HEARING_TIME)
     answer = await three.ask("/letter/1")
     assert list_ids(answer.text) == list(range(1, 11))
@@ -161,9 +160,9 @@
 async def test_request_that_ends_plain_servers_is_barred_too(three: Traffic) -> None:
     for _ in range(3):
         await three.add_desk()
-    three.fleet.deadly = DEADLY
+    three.fleet.crash_body = DEADLY
     await bar(three, "/check/1")
-    assert len(three.fleet.ended) == 2
+    assert len(three.fleet.crashes) == 2
     answer = await three.ask_for(DEADLY, "/check/1", node=1)
     assert (answer.status_code, answer.json()["error"]) == (400, "ends_servers")
     assert (await three.ask("/check/1", node=1)).status_code == 200
@@ -181,21 +180,21 @@
     async with anyio.create_task_group() as tasks:
 
         async def ask() -> None:
-            with anyio.fail_after(7):  # bar and its waits take 2 s; by itself the copy would end after 9 s
+            with anyio.fail_after(7):  # bar() and its waits take 2 s; otherwise the copy would end after 9 s
                 answer = await three.ask_for(DEADLY, "/letter/1", 2, X_Request_Id="copy", X_Deadline_Ms="9000")
             statuses.append(answer.status_code)
 
         for server in servers:
-            server.spoil = wait
+            server.fault_handler = wait
         tasks.start_soon(ask)
         await wait_for(lambda: bool(three.fleet.runs))
         for server in servers:
-            server.spoil = None
-        three.fleet.deadly = DEADLY
+            server.fault_handler = None
+        three.fleet.crash_body = DEADLY
         busy = three.fleet.runs[0].server
         others = [server for server in servers if server.id == busy]
         others[0].state = "draining"
-        others[0].announce()  # the other copies go elsewhere
+        others[0].announce()  # so that the other copies are sent elsewhere
         await anyio.sleep(0.3)
         await bar(three)
     assert statuses == [400]
@@ -203,7 +202,7 @@
 
 
 async def test_copy_that_has_had_events_goes_on(three: Traffic) -> None:
-    """The same request begins to run well, as on a server of another kind, before others end under it."""
+    """The same request runs without a crash, as on a server of another kind, before other servers crash under it."""
     await three.add_chains(halls=("east", "west", "north"))
     three.fleet.answer_tokens, three.fleet.token_time = 20, 0.04
     ids: list[int] = []
@@ -218,7 +217,7 @@
         first.state = "draining"
         first.announce()
         await anyio.sleep(0.1)
-        three.fleet.deadly = DEADLY
+        three.fleet.crash_body = DEADLY
         for node in (0, 1, 0):
             await send_deadly(three, node)
     assert ids == list(range(1, 21))
@@ -226,10 +225,10 @@
 
 async def test_node_that_starts_anew_is_told(three: Traffic) -> None:
     await three.add_chains(halls=("east", "west", "north"))
-    three.fleet.deadly = DEADLY
+    three.fleet.crash_body = DEADLY
     await bar(three)
     three.nodes[0].restart()
     await three.nodes[0].wait_until_ready(three.client)
     await anyio.sleep(HEARING_TIME)
     assert (await three.ask_for(DEADLY, "/letter/1")).status_code == 400
-    assert len(three.fleet.ended) == 2
+    assert len(three.fleet.crashes) == 2
--- a/tests/system/platform/test_plain.py
+++ b/tests/system/platform/test_plain.py
@@ -1,4 +1,4 @@
-"""Requests to plain services: ran or not, at most once, and no bytes of another answer."""
+"""Requests to plain services run at most once where they must, and never get bytes of another answer."""
 
 from __future__ import annotations
 
@@ -60,9 +60,9 @@
 @pytest.mark.parametrize("fault", FAULTS)
 async def test_request_that_must_not_run_twice_runs_once(traffic: Traffic, fault: object) -> None:
     first, second = await traffic.add_desk(), await traffic.add_desk()
-    first.spoil = second.spoil = fault  # type: ignore[assignment]
+    first.fault_handler = second.fault_handler = fault  # type: ignore[assignment]
     answer = await traffic.ask("/once/1")
-    assert answer.status_code in {502, 504}  # no promise that it has not run
+    assert answer.status_code in {502, 504}  # 503 would promise that it has not run
     assert len(traffic.fleet.runs) == 1
 
 
@@ -72,11 +72,11 @@
 
     async def spoil_once(exchange: Exchange, run: Run) -> None:
         for server in servers:
-            server.spoil = None
+            server.fault_handler = None
         await fault(exchange, run)  # type: ignore[operator]
 
     for server in servers:
-        server.spoil = spoil_once
+        server.fault_handler = spoil_once
     answer = await traffic.ask("/check/1", "GET")
     assert answer.status_code == 200
     assert answer.text == f"answer to {traffic.fleet.runs[0].request}"
@@ -85,9 +85,9 @@
 
 async def test_surplus_answer_is_never_passed_on(traffic: Traffic) -> None:
     desk = await traffic.add_desk()
-    desk.spoil = answer_twice
+    desk.fault_handler = answer_twice
     assert (await traffic.ask("/check/1", "GET")).text == "first"
-    desk.spoil = None
+    desk.fault_handler = None
     answer = await traffic.ask("/check/2", "GET")
     assert answer.text == f"answer to {traffic.fleet.runs[-1].request}"
 
@@ -102,7 +102,7 @@
 
 async def test_draining_server_gets_no_new_work(traffic: Traffic) -> None:
     leaving, staying = await traffic.add_desk(), await traffic.add_desk()
-    staying.work_time = 0.15  # the other one is chosen as long as it may be
+    staying.work_time = 0.15  # makes the leaving server the preferred one
     for number in range(6):
         await traffic.ask(f"/once/{number}")
     assert traffic.fleet.runs[-1].server == leaving.id
