--- a/packages/cli/src/vaneturn_cli/reasons.py
+++ b/packages/cli/src/vaneturn_cli/reasons.py
@@ -1,4 +1,4 @@
-"""Answers to why something is as it is."""
+"""Answers the "why" queries of operators."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def explain_session(view: View, request: RequestId) -> list[str]:
-    """Say where an answer in progress runs and what it went through."""
+    """Explain where an answer in progress runs and which failures it had."""
     for state in view.states:
         for session in state.sessions:
             if session.request != request:
@@ -24,13 +24,13 @@
 
 
 def explain_vm(view: View, vm: VmId) -> list[str]:
-    """Say what a VM is used for and what each node holds against it."""
-    said = group_servers(view).get(vm, [])
+    """Explain what a VM is used for and why nodes limit or avoid it."""
+    reported_states = group_servers(view).get(vm, [])
     work = describe_work(view, vm)
-    if not work and not said:
+    if not work and not reported_states:
         return [f"no declared server {vm}"]
-    lines = [f"vm {vm}: {describe_standing(said)}", f"declared for: {work or 'nothing'}"]
-    parts = describe_parts(said)
+    lines = [f"vm {vm}: {describe_standing(reported_states)}", f"declared for: {work or 'nothing'}"]
+    parts = describe_parts(reported_states)
     lines += [f"holds: {parts}"] * bool(parts)
     for state in view.states:
         for server in state.servers:
@@ -43,8 +43,8 @@
     return lines
 
 
-def explain_ended(request: RequestId, ended: EndedRequest | None) -> list[str]:
-    """Say what became of a request that has ended."""
+def explain_ended_request(request: RequestId, ended: EndedRequest | None) -> list[str]:
+    """Explain how a request ended."""
     if ended is None:
         return [f"no node that answered remembers a request {request}; each remembers its newest ones only"]
     reason = f" because of {ended.reason}" if ended.reason else ""
@@ -54,4 +54,4 @@
     ]
 
 
-__all__ = ["explain_ended", "explain_session", "explain_vm"]
+__all__ = ["explain_ended_request", "explain_session", "explain_vm"]
--- a/packages/core/src/vaneturn_core/traffic/crashes.py
+++ b/packages/core/src/vaneturn_core/traffic/crashes.py
@@ -1,8 +1,8 @@
-"""Which requests had just begun on servers when these ended: one that ends each server that runs it is found so.
+"""Detection of requests that crash the servers they run on.
 
-A server that ends takes all its requests along, and one of them may be the cause. Bystanders had been running there for
-a while, or end well elsewhere; the cause does neither. Nodes tell each other what they have seen, and join it as sets:
-the end of one start of a server, seen by many nodes, is one end.
+When a server crashes, any request that had just begun there may be the cause. Other requests had been running there for
+a while, or complete elsewhere; the cause does neither. Nodes exchange what they have seen and merge it as sets: a crash
+of one start of a server that many nodes have seen counts once.
 """
 
 from __future__ import annotations
@@ -17,59 +17,60 @@
 from vaneturn_core.traffic.contents import Content
 from vaneturn_core.traffic.servers import ServerId
 
-STARTING_TIME: Final = 1.0  # seconds from the first event of a run; what is still there then has not ended its server
-BARRING_WEIGHT: Final = 6  # two ends before the first event, or three in all
-SURE_WEIGHT: Final = 9  # three ends before the first event
-DOUBT_TIME: Final = 60.0  # seconds from the newest end for which a request is barred below that weight; a bystander on
-# both servers, as one of some 900 was on a fleet of three first servers, is tried again then
-KEPT_TIME: Final = 600.0  # seconds from an end for which it counts
-PENDING_TIME: Final = 8.0  # seconds; the entry of a server that ended is gone after three heartbeats
-MAX_ENDS: Final = 64  # newest ones; 8 servers end at once where a part of 50 does
-MAX_SUSPECTS: Final = 128  # of one end; 51 streams were on a server that took over those of two others
-KEPT_SOUND: Final = 1024  # contents that ended well, newest ones
+STARTING_TIME_S: Final = 1.0  # after its first event; a request that runs for longer is not suspected
+BARRING_WEIGHT: Final = 6  # two crashes before the first event, or three crashes in all
+SURE_WEIGHT: Final = 9  # three crashes before the first event
+# seconds after the newest crash for which a request below SURE_WEIGHT is barred. It may run again then, since it may
+# have been on both servers by chance: in a fleet with three first servers, that was so for 1 of about 900 requests
+DOUBT_TIME_S: Final = 60.0
+MAX_CRASH_AGE_S: Final = 600.0  # time for which a crash counts
+MAX_PENDING_AGE_S: Final = 8.0  # the entry of a crashed server is removed after three missed heartbeats
+MAX_CRASHES: Final = 64  # newest crashes that are kept; 8 servers crash together when part of a fleet of 50 does
+MAX_SUSPECTS: Final = 128  # per crash; a server that took over the streams of two others had 51
+MAX_COMPLETED: Final = 1024  # newest requests that completed
 
 
 class Suspicion(IntEnum):
-    """What an end says of a request that was on the server; of two words the greater holds."""
+    """How a crash bears on a request that ran on the server; when nodes report different values, the largest counts."""
 
-    BEGUN = 1  # it had brought events, for less than the time above
-    UNHEARD = 2  # it had brought none
-    CLEARED = 3  # it has ended well since
+    STARTED = 1  # the request had produced events, for less than STARTING_TIME_S
+    NO_EVENT = 2  # the request had produced none
+    CLEARED = 3  # the request has completed since
 
 
-_WEIGHTS: Final = {Suspicion.BEGUN: 2, Suspicion.UNHEARD: 3, Suspicion.CLEARED: 0}
+_WEIGHTS: Final = {Suspicion.STARTED: 2, Suspicion.NO_EVENT: 3, Suspicion.CLEARED: 0}
 
 
 @dataclass(slots=True)
-class ServerEnd:
-    """The end of one start of a server."""
+class ServerCrash:
+    """The crash of one start of a server, with the requests that may have caused it."""
 
-    at: float  # steady time
-    software: str  # that it ran
+    at: float  # monotonic time
+    software: str  # version that the server ran
     suspects: dict[Content, Suspicion] = field(default_factory=dict)
 
-    def weigh(self, content: Content) -> int:
-        """Weigh what it says against a request; 0 for one that was not there, or is cleared."""
+    def get_weight(self, content: Content) -> int:
+        """Return the weight of this crash against a request; 0 if it was not on the server or is cleared."""
         return _WEIGHTS[self.suspects.get(content, Suspicion.CLEARED)]
 
-    def join(self, other: ServerEnd) -> bool:
-        """Take over what another node has seen of the same end; false when it says nothing new."""
+    def join(self, other: ServerCrash) -> bool:
+        """Merge what another node has seen of the same crash; false when nothing was new."""
         self.at = min(self.at, other.at)
-        news = [self.suspect(content, suspicion) for content, suspicion in other.suspects.items()]
-        return any(news)
+        changes = [self.suspect(content, suspicion) for content, suspicion in other.suspects.items()]
+        return any(changes)
 
     def suspect(self, content: Content, suspicion: Suspicion) -> bool:
-        """Suspect a request, or clear it; false when it is known."""
+        """Record a suspicion against a request, or clear it; false when nothing changes."""
         known = self.suspects.get(content)
         if known is not None and known >= suspicion:
             return False
-        if known is None and len(self.suspects) >= MAX_SUSPECTS and not self._make_room(suspicion):
+        if known is None and len(self.suspects) >= MAX_SUSPECTS and not self._evict_weaker(suspicion):
             return False
         self.suspects[content] = suspicion
         return True
 
-    def _make_room(self, suspicion: Suspicion) -> bool:
-        """Leave out a request that is suspected less; false when there is none."""
+    def _evict_weaker(self, suspicion: Suspicion) -> bool:
+        """Drop the request with the weakest suspicion; false when none is weaker than the given one."""
         least = min(self.suspects, key=lambda content: (self.suspects[content], content))
         if self.suspects[least] >= suspicion:
             return False
@@ -78,121 +79,129 @@
 
 
 class CrashBoard:
-    """The ends of servers that this node has seen or heard of, and the requests that may not run any more."""
+    """The crashes that this node has seen or other nodes reported, and the requests barred because of them."""
 
     def __init__(self, clock: Callable[[], float], list_software: Callable[[], Iterable[str]]) -> None:
-        """Begin with nothing known.
+        """Create an empty board.
 
-        :param list_software: gives the software of the servers that are listed now.
+        :param list_software: returns the software versions of the servers that are listed now.
         """
         self._clock = clock
         self._list_software = list_software
-        self._ends: dict[ServerId, ServerEnd] = {}
-        self._pending: dict[ServerId, ServerEnd] = {}  # lost, but not shown to have ended
-        self._sound: OrderedDict[tuple[Content, str], float] = OrderedDict()  # when they last ran well on a software
-        self._check: int | None = None  # computed anew when it is asked for
-        self.listeners: list[Callable[[], None]] = []  # called when something new is known
+        self._crashes: dict[ServerId, ServerCrash] = {}
+        self._pending: dict[ServerId, ServerCrash] = {}  # connections were lost, but a crash is not confirmed
+        self._completed: OrderedDict[tuple[Content, str], float] = (
+            OrderedDict()
+        )  # when they last completed on a version
+        self._check: int | None = None  # computed on demand
+        self.listeners: list[Callable[[], None]] = []  # called after each change
 
     @property
     def check(self) -> int:
-        """Give a checksum of what is known; two nodes that know the same have the same."""
+        """Return a checksum of the known crashes; nodes that know the same crashes have the same checksum."""
         if self._check is None:
-            rows = sorted((server, *row) for server, end in self._ends.items() for row in end.suspects.items())
+            rows = sorted(
+                (server, *suspicion) for server, crash in self._crashes.items() for suspicion in crash.suspects.items()
+            )
             self._check = zlib.crc32(repr(rows).encode())
         return self._check
 
     def is_barred(self, content: Content) -> bool:
-        """Tell whether a request may not run any more.
+        """Tell whether a request is barred from running.
 
-        One that ended servers of a software that is gone may run once more on the new one.
+        If all the versions that it crashed are out of use, it may run once more; a crash of a newer one bars it again.
         """
-        ends = [end for end in self._ends.values() if end.weigh(content)]
-        weight = sum(end.weigh(content) for end in ends)
+        crashes = [crash for crash in self._crashes.values() if crash.get_weight(content)]
+        weight = sum(crash.get_weight(content) for crash in crashes)
         if weight < BARRING_WEIGHT:
             return False
-        if weight < SURE_WEIGHT and self._clock() > max(end.at for end in ends) + DOUBT_TIME:
+        if weight < SURE_WEIGHT and self._clock() > max(crash.at for crash in crashes) + DOUBT_TIME_S:
             return False
         running = set(self._list_software())
-        return any(end.software in running for end in ends)
+        return any(crash.software in running for crash in crashes)
 
-    def list_ends_under(self, content: Content) -> list[ServerId]:
-        """List the servers that ended while a request had just begun there, and that has not ended well since."""
-        return [server for server, end in self._ends.items() if end.weigh(content)]
+    def list_crashed_servers(self, content: Content) -> list[ServerId]:
+        """List the servers whose crash a request may have caused."""
+        return [server for server, crash in self._crashes.items() if crash.get_weight(content)]
 
     def list_suspects(self, server: ServerId) -> list[Content]:
-        """List the requests that may have ended a server."""
-        end = self._ends.get(server)
-        return [content for content in end.suspects if end.weigh(content)] if end is not None else []
+        """List the requests that may have caused the crash of a server."""
+        crash = self._crashes.get(server)
+        return [content for content in crash.suspects if crash.get_weight(content)] if crash is not None else []
 
-    def note_lost(self, server: ServerId, software: str, content: Content, suspicion: Suspicion) -> None:
-        """Take note that the connection of a request was lost; whether the server has ended is not known yet."""
-        if self._is_sound(content, software):
+    def record_lost_connection(self, server: ServerId, software: str, content: Content, suspicion: Suspicion) -> None:
+        """Record that the connection of a request was lost, before it is known whether the server has crashed."""
+        if self._has_completed(content, software):
             return
-        end = self._ends.get(server)
-        if end is not None:
-            self._note_change(is_new=end.suspect(content, suspicion))
+        crash = self._crashes.get(server)
+        if crash is not None:
+            self._note_change(is_new=crash.suspect(content, suspicion))
             return
         now = self._clock()
-        self._pending = {one: end for one, end in self._pending.items() if end.at > now - PENDING_TIME}
-        self._pending.setdefault(server, ServerEnd(now, software)).suspect(content, suspicion)
+        self._pending = {
+            lost_server: crash for lost_server, crash in self._pending.items() if crash.at > now - MAX_PENDING_AGE_S
+        }
+        self._pending.setdefault(server, ServerCrash(now, software)).suspect(content, suspicion)
 
     def confirm(self, server: ServerId) -> bool:
-        """Take note that a server has ended; false when no request is known to have been lost there."""
-        end = self._pending.pop(server, None)
-        return end is not None and self.join({server: end})
+        """Record that a server has crashed; false when no request lost there is pending."""
+        crash = self._pending.pop(server, None)
+        return crash is not None and self.join({server: crash})
 
     def confirm_absent(self, present: Iterable[ServerId]) -> list[ServerId]:
-        """Take note of the servers that are listed; gives those that were lost and are gone now."""
+        """Confirm the crash of each server with lost requests that is not listed any more; return these servers."""
         gone = self._pending.keys() - set(present)
         return [server for server in gone if self.confirm(server)]
 
-    def note_sound(self, content: Content, software: str) -> bool:
-        """Take note that a request has run well on a software; true when it was suspected.
+    def record_completion(self, content: Content, software: str) -> bool:
+        """Record that a request has completed on a software version; true when this clears it of a suspicion.
 
-        It ends no server of that software then, whatever copies of it were on servers that ended before or end later:
-        copies of a popular request are on all servers, and were on both that a deadly one ended within 0.2 s.
+        It is then cleared of all crashes of that version, earlier and later. Copies of a popular request run on all
+        servers, and may be on both servers that another request crashes, as happened within 0.2 s.
         """
         key = content, software
-        self._sound[key] = self._clock()
-        self._sound.move_to_end(key)
-        if len(self._sound) > KEPT_SOUND:
-            self._sound.popitem(last=False)
-        suspected = [end for end in self._ends.values() if content in end.suspects and end.software == software]
-        cleared = [end.suspect(content, Suspicion.CLEARED) for end in suspected]
+        self._completed[key] = self._clock()
+        self._completed.move_to_end(key)
+        if len(self._completed) > MAX_COMPLETED:
+            self._completed.popitem(last=False)
+        suspected = [
+            crash for crash in self._crashes.values() if content in crash.suspects and crash.software == software
+        ]
+        cleared = [crash.suspect(content, Suspicion.CLEARED) for crash in suspected]
         self._note_change(is_new=any(cleared))
         return any(cleared)
 
-    def join(self, ends: Mapping[ServerId, ServerEnd]) -> bool:
-        """Take over ends; false when they say nothing new."""
-        oldest = self._clock() - KEPT_TIME
+    def join(self, crashes: Mapping[ServerId, ServerCrash]) -> bool:
+        """Merge crashes that were confirmed here or by another node; false when nothing was new."""
+        oldest = self._clock() - MAX_CRASH_AGE_S
         is_new = False
-        for server, end in ends.items():
-            if end.at < oldest:
+        for server, crash in crashes.items():
+            if crash.at < oldest:
                 continue
             pending = self._pending.pop(server, None)
-            known = self._ends.setdefault(server, ServerEnd(end.at, end.software))
-            is_new |= known.join(end)
+            known = self._crashes.setdefault(server, ServerCrash(crash.at, crash.software))
+            is_new |= known.join(crash)
             if pending is not None:
                 is_new |= known.join(pending)
-            for content in [one for one in known.suspects if self._is_sound(one, known.software)]:
+            for content in [suspect for suspect in known.suspects if self._has_completed(suspect, known.software)]:
                 is_new |= known.suspect(content, Suspicion.CLEARED)
         self._forget(oldest)
         self._note_change(is_new=is_new)
         return is_new
 
-    def list_ends(self) -> dict[ServerId, ServerEnd]:
-        """List what is known, for other nodes."""
-        self._forget(self._clock() - KEPT_TIME)
-        return dict(self._ends)
+    def list_crashes(self) -> dict[ServerId, ServerCrash]:
+        """Return the known crashes, for other nodes."""
+        self._forget(self._clock() - MAX_CRASH_AGE_S)
+        return dict(self._crashes)
 
-    def _is_sound(self, content: Content, software: str) -> bool:
-        return self._sound.get((content, software), float("-inf")) >= self._clock() - KEPT_TIME
+    def _has_completed(self, content: Content, software: str) -> bool:
+        return self._completed.get((content, software), float("-inf")) >= self._clock() - MAX_CRASH_AGE_S
 
     def _forget(self, oldest: float) -> None:
-        newest = sorted(self._ends, key=lambda server: self._ends[server].at, reverse=True)[:MAX_ENDS]
-        kept = {server: self._ends[server] for server in newest if self._ends[server].at >= oldest}
-        if len(kept) < len(self._ends):
-            self._ends = kept
+        newest = sorted(self._crashes, key=lambda server: self._crashes[server].at, reverse=True)[:MAX_CRASHES]
+        kept = {server: self._crashes[server] for server in newest if self._crashes[server].at >= oldest}
+        if len(kept) < len(self._crashes):
+            self._crashes = kept
             self._check = None
 
     def _note_change(self, *, is_new: bool) -> None:
@@ -203,4 +212,4 @@
             listener()
 
 
-__all__ = ["STARTING_TIME", "CrashBoard", "ServerEnd", "Suspicion"]
+__all__ = ["STARTING_TIME_S", "CrashBoard", "ServerCrash", "Suspicion"]
--- a/packages/node/src/vaneturn_node/stages/window.py
+++ b/packages/node/src/vaneturn_node/stages/window.py
@@ -1,4 +1,4 @@
-"""The steps that a node has at one server at a time."""
+"""The window of steps that a node has in flight at one server."""
 
 from __future__ import annotations
 
@@ -8,54 +8,54 @@
 
 import anyio
 
-SLACK: Final = 1.5  # steps beyond what keeps the server busy on average: replies do not come evenly
+SLACK_FACTOR: Final = 1.5  # factor over the window that keeps the server busy on average, since replies arrive unevenly
 
 
 class StepWindow:
-    """Lets through as many steps as keep the server busy while the other hops of the answers are busy too.
+    """Limits the steps in flight to as many as keep the server busy while the other hops are busy too.
 
-    An engine runs what has arrived as one batch. Without a window the answers of a node gather into one batch that
-    goes from stage to stage while the other stages idle. An answer over n hops is expected to be at each of them an
-    nth of its time; the window is the sum of these shares.
+    An engine runs all steps that have arrived as one batch. Without a window all answers of a node would end up in one
+    batch that moves from stage to stage while the other stages idle. An answer over n hops is expected to spend 1/n of
+    its time at each of them; the window is the sum of these shares, times SLACK.
     """
 
     def __init__(self) -> None:
-        self._expected = 0.0
+        self._expected_steps = 0.0
         self._in_flight = 0
         self._waiting: deque[anyio.Event] = deque()
 
     @property
     def size(self) -> int:
-        """How many steps may be in flight."""
-        return max(1, math.ceil(self._expected * SLACK - 1e-9))
+        """The maximum number of steps in flight."""
+        return max(1, math.ceil(self._expected_steps * SLACK_FACTOR - 1e-9))
 
-    def add(self, share: float) -> None:
-        """Expect an answer for a share of its time; a negative share takes it back."""
-        self._expected = max(0.0, self._expected + share)
-        self._let_through()
+    def add_share(self, share: float) -> None:
+        """Add the share of its time that an answer is expected to spend here; a negative share removes it."""
+        self._expected_steps = max(0.0, self._expected_steps + share)
+        self._admit_waiting()
 
     async def enter(self) -> None:
-        """Wait for a place; a place must be left."""
+        """Wait for a place; call leave() to free it."""
         if self._in_flight < self.size and not self._waiting:
             self._in_flight += 1
             return
-        turn = anyio.Event()
-        self._waiting.append(turn)
+        granted = anyio.Event()
+        self._waiting.append(granted)
         try:
-            await turn.wait()
+            await granted.wait()
         except BaseException:
-            if turn.is_set():
+            if granted.is_set():
                 self.leave()
             else:
-                self._waiting.remove(turn)
+                self._waiting.remove(granted)
             raise
 
     def leave(self) -> None:
-        """Give a place back."""
+        """Free a place."""
         self._in_flight -= 1
-        self._let_through()
+        self._admit_waiting()
 
-    def _let_through(self) -> None:
+    def _admit_waiting(self) -> None:
         while self._waiting and self._in_flight < self.size:
             self._in_flight += 1
             self._waiting.popleft().set()
--- a/packages/node/src/vaneturn_node/traffic/serving/repair.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/repair.py
@@ -1,39 +1,39 @@
-"""Looks for the lost parts of a chain while no event comes, and goes round them."""
+"""Finds the lost parts of a chain while no event arrives, and replaces them."""
 
 from __future__ import annotations
 
 from typing import Final, Protocol
 
 from vaneturn_core.traffic.chain import Part
-from vaneturn_core.traffic.pace import Stage
+from vaneturn_core.traffic.pace import PauseStep
 from vaneturn_node.clock import read_clock
 from vaneturn_node.platform.servers import OrderOutcome
 from vaneturn_node.traffic.servers.exchange import TrafficParts
 from vaneturn_node.traffic.servers.lossfinding import LossFinder
-from vaneturn_node.traffic.serving.chainhold import ChainHold
+from vaneturn_node.traffic.serving.chainreservation import ChainReservation
 from vaneturn_node.traffic.serving.clientstream import ClientStream
 from vaneturn_node.traffic.serving.outcomes import MayHaveRun, TryOutcome
-from vaneturn_node.traffic.serving.requests import RequestInProgress
+from vaneturn_node.traffic.serving.requests import RequestContext
 
 MAX_DETOURS: Final = 3
 
 
-class TryOverError(Exception):
-    """A try has ended before its answer; the end is that of the try that took its place, where one did."""
+class TryEndedError(Exception):
+    """A try has ended before its answer; `outcome` is that of the try that replaced it, if one did."""
 
-    def __init__(self, end: TryOutcome | None) -> None:
-        super().__init__(repr(end))
-        self.end = end
+    def __init__(self, outcome: TryOutcome | None) -> None:
+        super().__init__(repr(outcome))
+        self.outcome = outcome
 
 
-class Move(Protocol):
-    """Goes on with another try, where there is one."""
+class MoveToNextTry(Protocol):
+    """Moves the request to another try, if there is one."""
 
-    async def __call__(self, cause: str, *, is_gone: bool) -> None:
-        """Go on for a cause; returns when there is no other try, or no server has taken it.
+    async def __call__(self, cause: str, *, is_first_lost: bool) -> None:
+        """Move the request for the given cause; return if there is no other try, or no server has accepted it.
 
-        :param is_gone: whether the run on the first server counts no more.
-        :raises TryOverError: another try has taken the place of this one, or this one cannot go on.
+        :param is_first_lost: whether the first server is lost, so that the run on it no longer counts.
+        :raises TryEndedError: another try has replaced this one, or this one cannot continue.
         """
 
 
@@ -41,70 +41,76 @@
     """Repairs the chain of one try."""
 
     def __init__(
-        self, parts: TrafficParts, work: RequestInProgress, hold: ChainHold, client: ClientStream, move: Move
+        self,
+        parts: TrafficParts,
+        context: RequestContext,
+        reservation: ChainReservation,
+        client: ClientStream,
+        move: MoveToNextTry,
     ) -> None:
         self._parts = parts
-        self._work = work
-        self._hold = hold
+        self._context = context
+        self._reservation = reservation
         self._client = client
         self._move = move
-        self._finder = LossFinder(parts, work.facts.id)
+        self._finder = LossFinder(parts, context.facts.id)
 
     @property
-    def should_look_soon(self) -> bool:
-        """Tell whether the newest look says little."""
-        return self._finder.should_ask_soon
+    def should_probe_soon(self) -> bool:
+        """Tell whether the newest probe was inconclusive."""
+        return self._finder.should_check_soon
 
-    async def look_for_loss(self) -> None:
-        """Look for lost parts, and go round them, or on with another try.
+    async def repair_losses(self) -> None:
+        """Probe the chain for lost parts; replace them, or move the request to another try.
 
-        :raises TryOverError: another try has taken the place of this one, or it cannot go on.
+        :raises TryEndedError: another try has replaced this one, or this one cannot continue.
         """
         pace = self._client.pace
-        pace.mark(Stage.LOOKED, read_clock())
-        borne = pace.find_stage(Stage.LOOKED)
-        losses = await self._finder.find(self._hold.chain, usual_pause=pace.usual, borne=borne)
-        if losses.is_first_gone or losses.parts:
-            pace.mark(Stage.FOUND, read_clock())
-        if losses.is_first_gone:
-            await self._pass_lost_first()
-        elif self._hold.chain.parts[0] in losses.parts:
-            await self._move("first server stalls", is_gone=False)
+        pace.record_step(PauseStep.PROBED, read_clock())
+        borne = pace.get_step_time(PauseStep.PROBED)
+        losses = await self._finder.find(self._reservation.chain, mean_gap=pace.usual, tolerated_silence=borne)
+        if losses.is_first_lost or losses.parts:
+            pace.record_step(PauseStep.FOUND, read_clock())
+        if losses.is_first_lost:
+            await self._handle_lost_first()
+        elif self._reservation.chain.parts[0] in losses.parts:
+            await self._move("first server stalls", is_first_lost=False)
         elif losses.parts:
-            await self._replace(losses.parts)
-
-    async def _pass_lost_first(self) -> None:
-        """Go on elsewhere, as the server that answers is silent; where nothing else can, its answer may still come."""
-        self._hold.note_part_lost(self._hold.chain.parts[0])
-        await self._move("first server lost", is_gone=True)
-        is_all = self._client.is_begun or not self._work.route.may_repeat  # that this request can get
-        first = self._hold.first.id
-        has_left = first not in self._parts.view.servers or self._parts.reports.is_gone(first)
-        if has_left or not is_all:
-            self._hold.uncount_run()
-            raise TryOverError(MayHaveRun("first server lost"))
-
-    async def _replace(self, lost: list[Part]) -> None:
-        """Take the request over other servers in place of the lost ones."""
-        work = self._work
-        work.note_wait(f"lost {[part.server.id for part in lost]}")
+            await self._replace_parts(losses.parts)
+
+    async def _handle_lost_first(self) -> None:
+        """Move to another try, as the answering server is unresponsive; if none can, its answer may still arrive."""
+        self._reservation.record_lost_part(self._reservation.chain.parts[0])
+        await self._move("first server lost", is_first_lost=True)
+        # the request can get no answer but this one
+        is_only_answer = self._client.is_begun or not self._context.route.may_repeat
+        first_id = self._reservation.first_server.id
+        has_left = first_id not in self._parts.view.servers or self._parts.reports.is_gone(first_id)
+        if has_left or not is_only_answer:
+            self._reservation.undo_run_count()
+            raise TryEndedError(MayHaveRun("first server lost"))
+
+    async def _replace_parts(self, lost: list[Part]) -> None:
+        """Replace the lost parts with other servers."""
+        context = self._context
+        context.add_wait_step(f"lost {[part.server.id for part in lost]}")
         for part in lost:
-            self._hold.note_part_lost(part)
+            self._reservation.record_lost_part(part)
         for _ in range(MAX_DETOURS):
-            work.avoided.update(part.server.id for part in lost)  # an unsuccessful move has forgotten them
-            chain = self._hold.find_detour()
+            context.avoided.update(part.server.id for part in lost)  # a move that failed has cleared them
+            chain = self._reservation.find_detour()
             if chain is None:
-                await self._move("no server in place of the lost one", is_gone=False)
+                await self._move("no server in place of the lost one", is_first_lost=False)
                 return
-            if chain.count_crossings() > self._hold.chain.count_crossings():
-                await self._move("another hall reads the prompt sooner than it crosses the pipe", is_gone=False)
-            self._client.pace.mark(Stage.WENT_ON, read_clock())
-            outcome = await self._hold.order_detour(chain)
+            if chain.count_crossings() > self._reservation.chain.count_crossings():
+                await self._move("another hall reads the prompt sooner than it crosses the pipe", is_first_lost=False)
+            self._client.pace.record_step(PauseStep.RESUMED, read_clock())
+            outcome = await self._reservation.order_detour(chain)
             if outcome is OrderOutcome.TAKEN:
                 return
             if outcome is not OrderOutcome.CONFLICT:
                 break
-        await self._move("no detour", is_gone=False)
+        await self._move("no detour", is_first_lost=False)
 
 
-__all__ = ["ChainRepair", "Move", "TryOverError"]
+__all__ = ["ChainRepair", "MoveToNextTry", "TryEndedError"]
--- a/tests/core/traffic/test_ratelimits.py
+++ b/tests/core/traffic/test_ratelimits.py
@@ -1,4 +1,4 @@
-"""Permits for a server with a rate limit: all nodes together stay within it, whoever comes, leaves or knows it late."""
+"""Permits keep all nodes together within the rate limit of a server, also while nodes join, leave or learn it late."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 from vaneturn_core.identifiers import VmId
 from vaneturn_core.traffic.ratelimits import (
-    BURST,
-    MAX_NEWS,
-    SETTLE_TIME,
-    STAND_IN_SHARE,
-    WHOLE,
+    FULL_SHARE,
+    MAX_BURST,
+    MAX_REPORTED_CHANGES,
+    SETTLE_TIME_S,
+    SUBSTITUTE_SHARE,
     NodeHistory,
     PermitIssuer,
     RateLimits,
@@ -24,7 +24,7 @@
 from vaneturn_core.traffic.servers import ServerId
 
 SERVER = ServerId("i-1")
-WINDOW = 4.0  # seconds in which a server counts
+WINDOW = 4.0  # seconds; window in which a server counts requests
 MAX_WAIT = 5.0  # seconds after which a node asks again
 STEP = 0.025  # seconds
 NEWS_TIME = 1.5  # seconds until all nodes know of a change, at most
@@ -35,7 +35,7 @@
 
 
 class Fleet:
-    """Nodes that ask each other for permits; each hears of a change at another time."""
+    """Nodes that ask each other for permits; each learns of a change at a different time."""
 
     def __init__(self, count: int, rng: random.Random) -> None:
         self.now, self.rng = 0.0, rng
@@ -47,7 +47,7 @@
         for vm in sorted(self.members):
             self._start(vm)
             self._hear(vm, frozenset(self.members))
-        self.now = SETTLE_TIME + 1.0
+        self.now = SETTLE_TIME_S + 1.0
         self.held_until = dict.fromkeys(self.members, 0.0)
         self.sent: deque[float] = deque()
         self.served = 0
@@ -55,7 +55,7 @@
         self.most = 0
 
     def change(self, vm: VmId) -> None:
-        """Let a node come, or go when it is there; the others hear of it by and by."""
+        """Remove a node if it is a member, else add it; the others learn of the change with different delays."""
         if vm in self.members:
             self.members.remove(vm)
         else:
@@ -66,9 +66,9 @@
         self.news += [(self.now + self.rng.uniform(0.0, NEWS_TIME), one, known) for one in sorted(known)]
 
     def play(self, seconds: float, rate: float, demand: float) -> None:
-        """Let requests come, some nodes getting most of them, and count what the server gets.
+        """Simulate requests, most of them on a few nodes, and count those that the server gets.
 
-        :param demand: requests a second of all nodes together, all for the one server.
+        :param demand: requests per second of all nodes together, all for the same server.
         """
         until = self.now + seconds
         while self.now < until:
@@ -113,7 +113,7 @@
 def test_many_nodes_use_a_limit_and_do_not_exceed_it(nodes: int, rate: float) -> None:
     fleet = Fleet(nodes, random.Random(f"{nodes} {rate}"))
     fleet.play(20.0, rate, demand=10 * rate + 10)
-    assert fleet.most <= (WHOLE + STAND_IN_SHARE) * rate * WINDOW + BURST + 2
+    assert fleet.most <= (FULL_SHARE + SUBSTITUTE_SHARE) * rate * WINDOW + MAX_BURST + 2
     assert fleet.served >= 0.8 * 20.0 * rate
 
 
@@ -143,13 +143,13 @@
     history.note([VmId("entry-1")])
     assert issuer.issue(SERVER, 10.0) == 0
     assert issuer.issue(SERVER, 10.0) == pytest.approx(0.5)
-    now = SETTLE_TIME + 0.1
+    now = SETTLE_TIME_S + 0.1
     history.note([VmId("entry-1")])
     assert [issuer.issue(SERVER, 10.0) for _ in range(3)] == [0, 0, pytest.approx(0.1)]
 
 
 def test_nodes_without_a_permit_return_one_after_the_other() -> None:
-    """All of them came back for the same permit."""
+    """Otherwise all of them come back for the same permit."""
     issuer = make_settled_issuer()
     assert [issuer.issue(SERVER, 10.0) for _ in range(4)] == [0, *(pytest.approx(number / 10) for number in (1, 2, 3))]
 
@@ -158,7 +158,7 @@
     now = 0.0
     history = NodeHistory(lambda: now)
     history.note([VmId("entry-1")])
-    now = SETTLE_TIME + 0.1
+    now = SETTLE_TIME_S + 0.1
     return PermitIssuer(VmId("entry-1"), history, lambda: now)
 
 
@@ -176,11 +176,11 @@
 
 def test_news_are_the_newest_changes_and_bounded() -> None:
     limits = RateLimits()
-    for number in range(2 * MAX_NEWS):
+    for number in range(2 * MAX_REPORTED_CHANGES):
         limits.note_answer(ServerId(f"i-{number}"), 2.0, sent_at=0.0, now=100.0 + number / 100)
-    assert len(limits.list_news(now=102.0)) == MAX_NEWS
-    assert next(iter(limits.list_news(now=102.0))) == f"i-{2 * MAX_NEWS - 1}"
-    assert limits.list_news(now=110.0) == {}
+    assert len(limits.list_changes(now=102.0)) == MAX_REPORTED_CHANGES
+    assert next(iter(limits.list_changes(now=102.0))) == f"i-{2 * MAX_REPORTED_CHANGES - 1}"
+    assert limits.list_changes(now=110.0) == {}
 
 
 def test_limits_of_absent_servers_are_forgotten() -> None:
--- a/tests/node/traffic/following/test_follower.py
+++ b/tests/node/traffic/following/test_follower.py
@@ -1,4 +1,4 @@
-"""Who asks a store that is away: few calls of each node beside relays that say that they do not reach it either."""
+"""Calls of an unavailable store: a node makes few while its relays answer that they cannot reach it either."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.outage import MAX_RETRY, RELAY_RETRY
+from vaneturn_core.traffic.outage import MAX_RETRY_DELAY_S, RELAY_RETRY_DELAY_S
 from vaneturn_core.traffic.relays import RelayTimes, list_relays
 from vaneturn_core.traffic.view import PlatformView, StoreContact
 from vaneturn_node.platform.store import HistoryGone, NotDone, StorePage, WatchTooLong
@@ -36,17 +36,17 @@
 
 
 class Relays:
-    """Say what they are told to."""
+    """Give preset answers."""
 
     def __init__(self) -> None:
-        self.word: RelayedChanges | NoChanges = NoChanges.OUT_OF_TOUCH
-        self.words: dict[str, RelayedChanges | NoChanges] = {}  # of single ones
+        self.default_answer: RelayedChanges | NoChanges = NoChanges.OUT_OF_TOUCH
+        self.answers: dict[str, RelayedChanges | NoChanges] = {}  # of single relays, by address
         self.asked: list[str] = []
 
     async def ask(self, address: str, _: int) -> RelayedChanges | NoChanges:
         self.asked.append(address)
         await anyio.sleep(0.002)
-        return self.words.get(address, self.word)
+        return self.answers.get(address, self.default_answer)
 
 
 class Keeper:
@@ -60,7 +60,7 @@
 class Server:
     arrival = None
 
-    def is_asked(self) -> bool:
+    def has_followers(self) -> bool:
         return False
 
 
@@ -87,9 +87,9 @@
     return follower, view
 
 
-async def count_calls(word: NoChanges) -> int:
+async def count_calls(default_answer: NoChanges) -> int:
     store, relays = Store(), Relays()
-    relays.word = word
+    relays.default_answer = default_answer
     follower, _ = make_follower(store, relays)
     with anyio.move_on_after(OUTAGE):
         await follower.run()
@@ -97,7 +97,7 @@
 
 
 async def test_node_leaves_a_store_that_is_away_to_its_relays() -> None:
-    """One call, and another after the half of a bound at the soonest; without the relays' word a call each 0.4 s."""
+    """One call, and the next after half of the bound at the earliest; without the relays' answers, one every 0.4 s."""
     assert await count_calls(NoChanges.OUT_OF_TOUCH) <= 3
 
 
@@ -112,8 +112,8 @@
         tasks.start_soon(follower.run)
         await anyio.sleep(0.5)
         now = time.monotonic()
-        relays.word = RelayedChanges(6, [], StoreContact(now, now - 0.1, now))
-        await anyio.sleep(RELAY_RETRY + MAX_RETRY)
+        relays.default_answer = RelayedChanges(6, [], StoreContact(now, now - 0.1, now))
+        await anyio.sleep(RELAY_RETRY_DELAY_S + MAX_RETRY_DELAY_S)
         tasks.cancel_scope.cancel()
     assert not view.contact.is_in_trouble
     assert follower.followed is not None
@@ -121,21 +121,21 @@
 
 
 async def test_next_nodes_stand_in_for_relays_that_the_store_turns_away() -> None:
-    """Two of 64 nodes are out of touch, and the others are not: one asks another one, and not the store."""
+    """If both relays of 64 nodes are out of touch, a node asks another node that is in touch instead of the store."""
     store, relays = Store(), Relays()
     follower, _ = make_follower(store, relays)
     out = list_relays(NODES)
-    relays.words = {f"{relay}:1": NoChanges.OUT_OF_TOUCH for relay in out}
-    relays.word = RelayedChanges(6, [], StoreContact(time.monotonic()))
+    relays.answers = {f"{relay}:1": NoChanges.OUT_OF_TOUCH for relay in out}
+    relays.default_answer = RelayedChanges(6, [], StoreContact(time.monotonic()))
     with anyio.move_on_after(0.5):
         await follower.run()
     assert store.calls == 0
     assert follower.followed not in {None, *out}
-    assert relays.asked[0] in relays.words
+    assert relays.asked[0] in relays.answers
 
 
 class LongStore(Store):
-    """Gives no changes that could be read in time, or none at all, and the newest values."""
+    """Cannot give changes, as they take too long or are no longer kept, but gives the latest values."""
 
     def __init__(self, answer: HistoryGone | WatchTooLong, page: StorePage | NotDone) -> None:
         super().__init__()
@@ -159,7 +159,7 @@
 @pytest.mark.parametrize("answer", UNREADABLE)
 async def test_newest_values_are_read_when_changes_cannot_be(answer: HistoryGone | WatchTooLong) -> None:
     relays = Relays()
-    relays.word = NoChanges.NO_ANSWER
+    relays.default_answer = NoChanges.NO_ANSWER
     follower, view = make_follower(LongStore(answer, StorePage((), 90)), relays)
     assert await follower._watch(5)
     assert follower._revision == 90
@@ -168,11 +168,11 @@
 
 @pytest.mark.parametrize("answer", UNREADABLE)
 async def test_relays_are_asked_when_the_newest_values_cannot_be_read(answer: HistoryGone | WatchTooLong) -> None:
-    """A node that gave up what it knew asked the store alone, which might turn just this node away."""
+    """A node that discards its state must not depend on the store alone, which may reject just this node."""
     relays = Relays()
-    relays.word = NoChanges.NO_ANSWER
+    relays.default_answer = NoChanges.NO_ANSWER
     follower, _ = make_follower(LongStore(answer, NotDone("status 503")), relays)
     assert not await follower._watch(5)
-    relays.word = RelayedChanges(6, [], StoreContact(time.monotonic()))
+    relays.default_answer = RelayedChanges(6, [], StoreContact(time.monotonic()))
     assert await follower._ask()
     assert follower.followed is not None
--- a/tests/node/traffic/following/test_serverentries.py
+++ b/tests/node/traffic/following/test_serverentries.py
@@ -1,8 +1,8 @@
-"""Entries of the list come from servers, which may start again under their names, and from other writers.
+"""Entries of the list come from servers, which may restart under the same name, and from other writers.
 
-Before, an entry with -3 places, the address "not an addr", layers from -5 or up to 10^9, or of a service that nobody
-names was a server to use; one that turned unreadable left its server listed; and a server that had started again was
-taken for the one before, with all that was believed of it.
+An entry with -3 slots, the address "not an addr", layers from -5 or up to 10^9, or of a service that is not configured
+must not be used as a server. An entry that becomes unreadable must not leave its server listed, and a restarted server
+must not inherit the known state of its previous start.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 from standins.platform.operator import make_configuration
 from vaneturn_core.faults import Fault
 from vaneturn_core.identifiers import NodeId, VmId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.contents import Content
 from vaneturn_core.traffic.crashes import Suspicion
 from vaneturn_core.traffic.servers import BackendServer, ServerName, identify_start
 from vaneturn_core.traffic.view import PlatformView, StoreContact
 from vaneturn_node.http1.caller import Caller, Failed, Reply
 from vaneturn_node.http1.pool import LinkPool
-from vaneturn_node.platform.servers import MAX_ENTRY, ServerCalls, ServerReport, decode_server
+from vaneturn_node.platform.servers import MAX_ENTRY_BYTES, ServerCalls, ServerReport, decode_server
 from vaneturn_node.platform.store import PlatformStore, StoreItem
 from vaneturn_node.traffic.duties.tenure import Tenure
 from vaneturn_node.traffic.following.viewkeeping import ViewKeeper
@@ -53,12 +53,12 @@
 
 
 class Node:
-    """A node's view, kept by items."""
+    """A node whose view is updated by items."""
 
     def __init__(self) -> None:
         caller = Caller(LinkPool())
         self.view = PlatformView(5.0, time.monotonic)
-        self.beliefs = ServerBeliefs()
+        self.beliefs = ServerStatuses()
         self.parts = make_parts("entry-1", self.view, self.beliefs, caller)
         store = PlatformStore(caller, make_server(1, None).address)
         tenure = Tenure(store, NodeId("n"), VmId("entry-1"), lambda: None)
@@ -96,7 +96,9 @@
     assert fault.path.startswith(f"$.{field}")
 
 
-@pytest.mark.parametrize("value", [b"", b"\xff\xfe", b"[]", b"null", b"{", b"[" * 100_000, b" " * (MAX_ENTRY + 1)])
+@pytest.mark.parametrize(
+    "value", [b"", b"\xff\xfe", b"[]", b"null", b"{", b"[" * 100_000, b" " * (MAX_ENTRY_BYTES + 1)]
+)
 def test_bytes_that_are_no_entry_are_no_server(value: bytes) -> None:
     assert isinstance(decode_server(ServerName("i-1"), value), Fault)
 
@@ -108,7 +110,7 @@
     node = Node()
     node.put("servers/i-1", SOUND)
     node.put("servers/i-2", SOUND, addr="10.1.64.10:8080")
-    node.view.contact = StoreContact(time.monotonic(), time.monotonic(), float("-inf"))  # in trouble: no lapse either
+    node.view.contact = StoreContact(time.monotonic(), time.monotonic(), float("-inf"))  # no lapse in an outage
     with caplog.at_level(logging.WARNING):
         for _ in range(3):
             node.put("servers/i-1", SOUND, **{field: value})
@@ -139,7 +141,7 @@
     node = Node()
     foreign = {field: value for field, value in SOUND.items() if field != "born"}
     node.put("servers/i-1", foreign)
-    assert node.list_names() == ["i-1"]  # a platform that does not tell it
+    assert node.list_names() == ["i-1"]  # on a platform whose entries do not state the birth
     node = Node()
     for number in (1, 2, 3):
         node.put(f"servers/i-{number}", SOUND)
@@ -155,15 +157,15 @@
     belief = node.beliefs[first.id]
     belief.record_failure(time.monotonic())
     belief.is_replaced, belief.leading, belief.reserved = True, 4, 900.0
-    node.parts.crashes.note_lost(first.id, "v1", Content(1), Suspicion.UNHEARD)
+    node.parts.crashes.record_lost_connection(first.id, "v1", Content(1), Suspicion.NO_EVENT)
     node.put("servers/i-1", SOUND, born=1_790_000_009_000, layers=None)
     node.keeper.forget_lapsed()
     (second,) = node.view.servers.values()
     assert (second.name, second.layers) == ("i-1", ())
     fresh = node.beliefs[second.id]
-    assert (fresh.resting_until, fresh.is_replaced, fresh.leading, fresh.reserved) == (float("-inf"), False, 0, 0.0)
-    assert node.parts.crashes.list_ends_under(Content(1)) == [first.id]  # the start before has ended
-    assert list(node.parts.list_choosable(second.service, [])) == [second]
+    assert (fresh.backoff_until, fresh.is_replaced, fresh.leading, fresh.reserved) == (float("-inf"), False, 0, 0.0)
+    assert node.parts.crashes.list_crashed_servers(Content(1)) == [first.id]  # the previous start has crashed
+    assert list(node.parts.list_eligible(second.service, [])) == [second]
 
 
 def test_word_of_an_older_start_changes_nothing() -> None:
@@ -178,7 +180,7 @@
 
 
 class Reports(Caller):
-    """Answers every question with one body."""
+    """Answers every request with the same body."""
 
     def __init__(self, status: int, body: bytes) -> None:
         super().__init__(LinkPool())
--- a/tests/node/traffic/servers/test_permits.py
+++ b/tests/node/traffic/servers/test_permits.py
@@ -1,4 +1,4 @@
-"""Permits between nodes: an issuer that does not answer, limits that end, words that are not understood."""
+"""Permits between nodes: an issuer that does not answer, limits that are lifted, invalid messages."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from core.traffic.samples import make_server
 from node.traffic.samples import make_parts
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.directives import ServerDirectives
 from vaneturn_core.traffic.ratelimits import NodeHistory, rank_issuers
 from vaneturn_core.traffic.view import PlatformView
@@ -18,7 +18,7 @@
 from vaneturn_node.http1.caller import Caller, Failed, Reply
 from vaneturn_node.http1.pool import LinkPool
 from vaneturn_node.traffic.servers.exchange import TrafficParts
-from vaneturn_node.traffic.servers.permits import NO_ISSUER_WAIT, PermitRequest
+from vaneturn_node.traffic.servers.permits import NO_ISSUER_WAIT_S, PermitRequest
 
 pytestmark = pytest.mark.anyio
 
@@ -29,7 +29,7 @@
 
 
 class Network(Caller):
-    """Carries questions between the nodes of a test."""
+    """Delivers permit requests between the nodes of a test."""
 
     def __init__(self) -> None:
         super().__init__(LinkPool())
@@ -42,8 +42,8 @@
         view = PlatformView(5.0, read_clock)
         view.put_server(SERVER)
         view.nodes = {node: str(node) for node in NODES}
-        parts = make_parts(vm, view, ServerBeliefs(), self)
-        parts.node_history._known.clear()  # as if it had started long ago
+        parts = make_parts(vm, view, ServerStatuses(), self)
+        parts.node_history._known.clear()  # as if the node had started long ago
         parts.node_history._known.append((0.0, frozenset(NODES)))
         return parts
 
@@ -55,12 +55,12 @@
             return Failed("no answer in time", was_sent=True)
         if self.spoilt is not None:
             return Reply(200, self.spoilt)
-        body = self.nodes[VmId(address)].permits.answer(sent["body"])
+        body = self.nodes[VmId(address)].permits.answer_request(sent["body"])
         return Reply(200, body) if body is not None else Reply(400, b"")
 
     def tell(self, node: VmId, rate: float | None) -> None:
-        """Let the server name a limit, or none, to a node."""
-        self.nodes[node].directives.take(SERVER, ServerDirectives(rate), read_clock())
+        """Let the server send a limit, or its end, to a node."""
+        self.nodes[node].directives.apply(SERVER, ServerDirectives(rate), read_clock())
 
 
 @pytest.fixture
@@ -96,7 +96,7 @@
     parts = network.nodes[ASKER]
     assert not parts.beliefs[SERVER.id].may_take_request(read_clock())
     assert parts.list_accepting(SERVER.service, ()) == []
-    assert parts.list_choosable(SERVER.service, ()) == [SERVER]  # later parts of chains need no permit
+    assert parts.list_eligible(SERVER.service, ()) == [SERVER]  # later parts of chains need no permit
 
 
 async def test_second_issuer_stands_in_for_one_that_is_silent(network: Network) -> None:
@@ -111,8 +111,8 @@
     network.tell(ASKER, 50.0)
     assert await count_permits(network, ASKER, 2) == 0
     wait = network.nodes[ASKER].compute_wait(SERVER.service)
-    assert wait == 0  # it holds no layers, so that no request waits for it
-    assert network.nodes[ASKER].beliefs[SERVER.id].permit_at > read_clock() + NO_ISSUER_WAIT / 2
+    assert wait == 0  # the server holds no layers, so no request waits for it
+    assert network.nodes[ASKER].beliefs[SERVER.id].permit_at > read_clock() + NO_ISSUER_WAIT_S / 2
 
 
 async def test_end_of_a_limit_reaches_nodes_that_got_no_permit(network: Network) -> None:
@@ -121,7 +121,7 @@
     await count_permits(network, ASKER, 3)
     network.tell(SECOND, None)
     assert await count_permits(network, SECOND, 3) == 3
-    network.nodes[FIRST].permits.take_news(network.nodes[SECOND].permits.list_news())
+    network.nodes[FIRST].permits.apply_limits(network.nodes[SECOND].permits.list_changed_limits())
     assert await count_permits(network, ASKER, 3) == 3
 
 
@@ -143,7 +143,7 @@
 )  # fmt: skip
 def test_question_that_is_not_understood_changes_nothing(network: Network, body: bytes) -> None:
     issuer = network.nodes[FIRST]
-    assert issuer.permits.answer(body) is None
+    assert issuer.permits.answer_request(body) is None
     assert issuer.limits.list_limited() == {}
 
 
--- a/tests/node/traffic/test_parsing.py
+++ b/tests/node/traffic/test_parsing.py
@@ -1,4 +1,4 @@
-"""Whatever bytes come from clients, servers, the store or other nodes: they are understood, or told to be not."""
+"""Any bytes from clients, servers, the store or other nodes are either decoded or reported as malformed."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from node.traffic.samples import make_crash_sharing, make_parts, make_sharing
 from vaneturn_core.faults import Fault
 from vaneturn_core.identifiers import VmId
-from vaneturn_core.traffic.beliefs import ServerBeliefs
+from vaneturn_core.traffic.beliefs import ServerStatuses
 from vaneturn_core.traffic.configuration import TrafficConfiguration
 from vaneturn_core.traffic.loads import LoadBoard
 from vaneturn_core.traffic.relays import RelayTimes
@@ -70,8 +70,8 @@
 )
 
 
-class Fixed(Caller):
-    """Answers every call in the same way."""
+class FixedCaller(Caller):
+    """Gives the same response to every call."""
 
     def __init__(self, status: int, body: bytes) -> None:
         super().__init__(LinkPool())
@@ -82,12 +82,12 @@
 
 
 @given(HEADERS)
-def test_heads_of_requests(headers: list[tuple[bytes, bytes]]) -> None:
+def test_headers_of_requests(headers: list[tuple[bytes, bytes]]) -> None:
     assert isinstance(read_request_facts(headers), RequestFacts)
 
 
 @given(st.integers(200, 599), HEADERS)
-def test_heads_of_answers(status: int, headers: list[tuple[bytes, bytes]]) -> None:
+def test_headers_of_responses(status: int, headers: list[tuple[bytes, bytes]]) -> None:
     assert isinstance(read_answer_facts(status, headers), AnswerFacts)
 
 
@@ -109,24 +109,24 @@
 
 @given(st.sampled_from([200, 404, 410, 429, 500, 503]), BYTES)
 @settings(max_examples=60)
-def test_answers_of_the_store(status: int, body: bytes) -> None:
+def test_responses_of_the_store(status: int, body: bytes) -> None:
     async def call() -> None:
-        store = PlatformStore(Fixed(status, body), ServerAddress("store"))
+        store = PlatformStore(FixedCaller(status, body), ServerAddress("store"))
         assert isinstance(await store.watch("", 1, 1.0), StorePage | HistoryGone | NotDone)
         assert isinstance(await store.read_range(""), StorePage | NotDone)
         await store.read_key("key")
         await store.write("key", b"value", 0)
         await store.grant_lease(1.0)
-        await store.keep_lease(1)
+        await store.renew_lease(1)
 
     anyio.run(call)
 
 
 @given(st.sampled_from([200, 410, 503]), BYTES)
 @settings(max_examples=60)
-def test_words_of_relays(status: int, body: bytes) -> None:
+def test_responses_of_relays(status: int, body: bytes) -> None:
     async def ask() -> None:
-        view, beliefs, caller = PlatformView(5.0, time.monotonic), ServerBeliefs(), Fixed(status, body)
+        view, beliefs, caller = PlatformView(5.0, time.monotonic), ServerStatuses(), FixedCaller(status, body)
         losses = make_sharing("entry-1", view, beliefs, caller)
         client = ChangeClient(
             caller=caller,
@@ -151,7 +151,7 @@
 @settings(max_examples=60)
 def test_long_values_of_relays(status: int, body: bytes) -> None:
     async def read() -> None:
-        caller, log = Fixed(status, body), ChangeLog()
+        caller, log = FixedCaller(status, body), ChangeLog()
         log.replace([StoreItem("op/config", b"x" * 20_000, 3)], 3)
         store, view = PlatformStore(caller, ServerAddress("store")), PlatformView(5.0, time.monotonic)
         reader = LongValueReader(vm=VmId("entry-1"), store=store, view=view, log=log, caller=caller)
@@ -162,12 +162,12 @@
 
 
 @pytest.mark.parametrize("value", ["###", "YQ", "a\u00e9"])
-def test_value_of_the_store_that_is_no_base64(value: str) -> None:
-    """It ended the task that follows the store, and the process with it."""
+def test_store_value_that_is_not_base64_is_rejected(value: str) -> None:
+    """Such a value must not raise: the error would end the task that follows the store, and with it the process."""
     body = json.dumps({"at": 3, "events": [{"key": "op/config", "revision": 2, "value": value}]}).encode()
 
     async def call() -> None:
-        page = await PlatformStore(Fixed(200, body), ServerAddress("store")).watch("", 1, 1.0)
+        page = await PlatformStore(FixedCaller(200, body), ServerAddress("store")).watch("", 1, 1.0)
         assert isinstance(page, NotDone)
 
     anyio.run(call)
--- a/tests/rig/ablation.py
+++ b/tests/rig/ablation.py
@@ -26,7 +26,9 @@
 
 
 MECHANISMS = (
-    Mechanism("relays", "calls on the store", (Edit(f"{CORE}/relays.py", "if nodes <= DIRECT_NODES:", "if nodes:"),)),
+    Mechanism(
+        "relays", "calls on the store", (Edit(f"{CORE}/relays.py", "if nodes <= MAX_DIRECT_NODES:", "if nodes:"),)
+    ),
     Mechanism(
         "told-loads",
         "requests of other nodes on the same servers",
@@ -37,7 +39,7 @@
         "requests of many nodes that all choose the same chain by old word",
         (
             Edit(f"{CORE}/chains.py", "pick_firsts(self._node, self._hall, left)", "list(left)"),
-            Edit(f"{CORE}/chains.py", "return ways[:CANDIDATES]", "return ways"),
+            Edit(f"{CORE}/chains.py", "return paths[:MAX_CANDIDATES]", "return paths"),
         ),
     ),
     Mechanism(
@@ -48,7 +50,7 @@
     Mechanism(
         "places-of-first",
         "queues at the first server of a chain",
-        (Edit(f"{CORE}/chains.py", "if before.part is None and part.first == 0:", "if before is None:"),),
+        (Edit(f"{CORE}/chains.py", "if previous.part is None and part.first == 0:", "if previous is None:"),),
     ),
     Mechanism(
         "resting-servers",
@@ -56,15 +58,15 @@
         (
             Edit(
                 f"{CORE}/beliefs.py",
-                "[server for server in able if self[server.id].resting_until <= now]",
-                "able",
+                "[server for server in eligible if self[server.id].backoff_until <= now]",
+                "eligible",
             ),
         ),
     ),
     Mechanism(
         "short-rest-of-full",
         "long rest of a server that only lacks room",
-        (Edit(f"{CORE}/beliefs.py", "if now - self.heard_at > ALIVE_AGE and", "if now > float('-inf') and"),),
+        (Edit(f"{CORE}/beliefs.py", "if now - self.token_at > ALIVE_AGE_S and", "if now > float('-inf') and"),),
     ),
     Mechanism(
         "detour",
@@ -74,11 +76,7 @@
     Mechanism(
         "very-slow-parts",
         "answers with long pauses over a slow server",
-        (
-            Edit(
-                f"{TRAFFIC}/servers/lossfinding.py", "if usual_pause >= SLOW_PAUSE:", "if usual_pause >= float('inf'):"
-            ),
-        ),
+        (Edit(f"{TRAFFIC}/servers/lossfinding.py", "if mean_gap >= SLOW_GAP_S:", "if mean_gap >= float('inf'):"),),
     ),
     Mechanism(
         "kept-connections",
@@ -94,7 +92,7 @@
     Mechanism(
         "idle-bound",
         "a request that may not run twice lost on a connection that the server forgot",
-        (Edit(f"{TRAFFIC}/serving/plain.py", "longest = MAX_IDLE_S if work.route.may_repeat else", "longest ="),),
+        (Edit(f"{TRAFFIC}/serving/plain.py", "max_idle = MAX_IDLE_S if context.route.may_repeat else", "max_idle ="),),
     ),
     Mechanism(
         "retry-shares",
@@ -107,20 +105,20 @@
         (
             Edit(
                 f"{TRAFFIC}/serving/plain.py",
-                "if last.status < SERVER_FAULT or not work.may_run_again:",
-                "if last.status < SERVER_FAULT or work.runs:",
+                "if last_outcome.status < MIN_SERVER_ERROR_STATUS or not context.may_run_again:",
+                "if last_outcome.status < MIN_SERVER_ERROR_STATUS or context.runs:",
             ),
             Edit(
                 f"{TRAFFIC}/serving/plain.py",
-                "elif isinstance(last, MayHaveRun) and not work.may_run_again:",
-                "elif isinstance(last, MayHaveRun):",
+                "elif isinstance(last_outcome, MayHaveRun) and not context.may_run_again:",
+                "elif isinstance(last_outcome, MayHaveRun):",
             ),
         ),
     ),
     Mechanism(
         "asking-servers",
         "a loss that no connection shows",
-        (Edit(f"{TRAFFIC}/serving/streamtry.py", "            await self._repair.look_for_loss()\n", ""),),
+        (Edit(f"{TRAFFIC}/serving/streamtry.py", "            await self._repair.repair_losses()\n", ""),),
     ),
     Mechanism(
         "plan-move",
@@ -136,7 +134,7 @@
         "doubled-parts",
         "the loss of a server whose layers nobody else in its hall holds",
         (
-            Edit(f"{CORE}/layout.py", "for server in rest:", "for server in rest[:0]:"),
+            Edit(f"{CORE}/layout.py", "for server in left_over:", "for server in left_over[:0]:"),
             Edit(f"{CORE}/layout.py", "if layers is None and takes_spare:", "if layers is None and not servers:"),
         ),
     ),
--- a/tests/standins/platform/store.py
+++ b/tests/standins/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store, with its outages."""
+"""The platform's metadata store, with simulated outages."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 from standins.platform.wire import Exchange, FindLink, find_no_link, serve
 
-LONG_BYTES = 16384  # of an answer whose body takes its time
-PARTS = 10  # in which it arrives
+SLOW_BODY_BYTES = 16384  # answers with longer bodies are sent over body_time
+SLOW_BODY_PARTS = 10  # parts in which such a body is sent
 
 
 class Mode(Enum):
-    """How the store treats calls."""
+    """How the store responds to calls."""
 
-    SOUND = "sound"
+    HEALTHY = "sound"
     BUSY = "busy"  # 503, nothing is done
     RESET = "reset"
     SILENT = "silent"
-    LOSES_ANSWERS = "loses answers"  # writes are done and not answered
+    LOSES_ANSWERS = "loses answers"  # writes take effect but are not answered
 
 
 @dataclass
@@ -49,23 +49,23 @@
 class Store:
     """All state in memory; the operator and the servers write through put and remove."""
 
-    mode: Mode = Mode.SOUND
-    treats: Callable[[Exchange], Mode | None] = lambda _: None  # a mode for single calls
+    mode: Mode = Mode.HEALTHY
+    choose_mode: Callable[[Exchange], Mode | None] = lambda _: None  # a mode for a single call, if any
     items: dict[str, Item] = field(default_factory=dict)
     revision: int = 1
     events: list[dict[str, Any]] = field(default_factory=list)
-    oldest: int = 0  # revision up to which history is gone
-    is_cut: bool = False
-    leases: dict[int, tuple[float, float]] = field(default_factory=dict)  # id: end, time
-    body_time: float = 0.0  # seconds for which the body of a long answer arrives, as over a slow link
+    oldest: int = 0  # revision up to which the history is deleted
+    is_down: bool = False
+    leases: dict[int, tuple[float, float]] = field(default_factory=dict)  # id: expiry, time to live; seconds
+    body_time: float = 0.0  # seconds over which a long body is sent, as on a slow link
     calls: list[tuple[str, str]] = field(default_factory=list)
-    _numbers: itertools.count[int] = field(default_factory=lambda: itertools.count(100))
+    _lease_ids: itertools.count[int] = field(default_factory=lambda: itertools.count(100))
     _changed: anyio.Event = field(default_factory=anyio.Event)
 
     def set_mode(self, mode: Mode) -> None:
-        """Begin or end an outage; watches that wait are cut."""
+        """Start or end an outage; an outage ends waiting watches."""
         self.mode = mode
-        self.is_cut = mode is not Mode.SOUND
+        self.is_down = mode is not Mode.HEALTHY
         self._wake()
 
     async def start(self, address: str, tasks: TaskGroup) -> None:
@@ -73,28 +73,28 @@
         tasks.start_soon(self._expire)
 
     async def listen(self, address: str, tasks: TaskGroup, find_link: FindLink = find_no_link) -> None:
-        """Take calls at one more address, so that a test can tell callers apart."""
+        """Accept calls at an additional address, so that a test can tell callers apart."""
         await serve(address, self._answer, tasks, find_link)
 
     def put(self, key: str, value: bytes, lease: int = 0) -> int:
         self.revision += 1
         made = self.items[key].made if key in self.items else self.revision
         self.items[key] = item = Item(key, value, self.revision, made, lease)
-        self._note(item.encode())
+        self._record_event(item.encode())
         return self.revision
 
     def remove(self, key: str) -> None:
         if self.items.pop(key, None) is not None:
             self.revision += 1
-            self._note({"key": key, "revision": self.revision, "gone": True})
+            self._record_event({"key": key, "revision": self.revision, "gone": True})
 
     def compact(self) -> None:
-        """Forget the history; watches that wait are cut."""
+        """Delete the history; this ends waiting watches."""
         self.oldest = self.revision
         self.events.clear()
         self._wake()
 
-    def _note(self, event: dict[str, Any]) -> None:
+    def _record_event(self, event: dict[str, Any]) -> None:
         self.events.append(event)
         self._wake()
 
@@ -106,9 +106,9 @@
         while True:
             await anyio.sleep(0.02)
             now = time.monotonic()
-            if self.mode is not Mode.SOUND:
+            if self.mode is not Mode.HEALTHY:
                 continue
-            for lease in [one for one, (end, _) in self.leases.items() if end < now]:
+            for lease in [lease_id for lease_id, (end, _) in self.leases.items() if end < now]:
                 self._end(lease)
 
     def _end(self, lease: int) -> None:
@@ -119,7 +119,7 @@
     async def _answer(self, exchange: Exchange) -> None:
         call = exchange.call
         self.calls.append((call.method, call.path))
-        mode = self.treats(exchange) or self.mode
+        mode = self.choose_mode(exchange) or self.mode
         if mode is Mode.BUSY:
             await exchange.reply(503)
             return
@@ -128,18 +128,18 @@
         if mode is Mode.SILENT:
             await exchange.watch_client()
             await exchange.close()
-        if self.mode in {Mode.BUSY, Mode.RESET, Mode.SILENT}:  # a watch that waited when the trouble began
+        if self.mode in {Mode.BUSY, Mode.RESET, Mode.SILENT}:  # a watch that was waiting when the outage began
             await exchange.reset()
-        loses = mode is Mode.LOSES_ANSWERS and call.method != "GET"
+        loses_answer = mode is Mode.LOSES_ANSWERS and call.method != "GET"
         status, value = await self._handle(exchange)
-        if loses:
+        if loses_answer:
             await exchange.watch_client()
             await exchange.close()
         await self._reply(exchange, status, json.dumps(value).encode())
 
     async def _reply(self, exchange: Exchange, status: int, body: bytes) -> None:
         await exchange.begin(status, {"Content-Type": "application/json", "Content-Length": str(len(body))})
-        parts = PARTS if len(body) > LONG_BYTES and self.body_time else 1
+        parts = SLOW_BODY_PARTS if len(body) > SLOW_BODY_BYTES and self.body_time else 1
         size = -(-len(body) // parts)
         for first in range(0, len(body), size):
             await exchange.send(body[first : first + size])
@@ -181,7 +181,7 @@
             while True:
                 if since < self.oldest:
                     return 410, {}
-                if self.is_cut:
+                if self.is_down:
                     return 503, {}
                 events = [
                     event
@@ -190,7 +190,7 @@
                 ]
                 if events:
                     return 200, {"events": events, "at": self.revision}
-                at = max(at, self.revision)  # not what comes in the turn in which the wait is over
+                at = max(at, self.revision)  # excludes changes made in the event loop turn in which the wait ends
                 await self._changed.wait()
         return 200, {"events": [], "at": at}
 
@@ -208,7 +208,7 @@
         return 200, {"revision": self.revision}
 
     def _grant(self, held: float) -> tuple[int, Any]:
-        lease = next(self._numbers)
+        lease = next(self._lease_ids)
         self.leases[lease] = (time.monotonic() + held, held)
         return 200, {"lease": lease, "ttl_ms": held * 1000}
 
--- a/tests/system/platform/test_operators_view.py
+++ b/tests/system/platform/test_operators_view.py
@@ -1,4 +1,4 @@
-"""Operators ask live nodes: the state with its age, and what became of a request."""
+"""Operators' commands against running nodes: the state with its age, and the steps of a request."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     return await anyio.to_thread.run_sync(run_command, ["--nodes", nodes, *arguments])
 
 
-async def test_state_tells_servers_and_layers(traffic: Traffic, capsys: pytest.CaptureFixture[str]) -> None:
+async def test_state_shows_servers_and_layers(traffic: Traffic, capsys: pytest.CaptureFixture[str]) -> None:
     servers = await traffic.add_chains(halls=("east",))
     assert await run(traffic, "traffic") == Exit.DONE
     shown = capsys.readouterr().out
@@ -39,7 +39,7 @@
 async def test_unknown_request_and_absent_node_have_exit_codes_of_their_own(
     traffic: Traffic, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert await run(traffic, "explain", "nobodys") == Exit.DIFFERENT
+    assert await run(traffic, "explain", "nobodys") == Exit.DIFFERENT_OR_UNKNOWN
     traffic.nodes[0].process.kill()
     assert await run(traffic, "traffic") == Exit.NO_ANSWER
     assert "no answer from 127.0.0.1" in capsys.readouterr().err
