--- a/packages/core/src/vaneturn_core/traffic/crashes.py
+++ b/packages/core/src/vaneturn_core/traffic/crashes.py
@@ -33,12 +33,14 @@
 class Suspicion(IntEnum):
     """How a crash bears on a request that ran on the server; when nodes report different values, the largest counts."""
 
-    STARTED = 1  # the request had produced events, for less than STARTING_TIME_S
-    NO_EVENT = 2  # the request had produced none
+    # the names of the class and its members are part of the checksum (CrashBoard.check): if one is renamed, nodes of
+    # different builds compute different ones for the same crashes, and keep reporting to each other
+    BEGUN = 1  # the request had produced events, for less than STARTING_TIME_S
+    UNHEARD = 2  # the request had produced none
     CLEARED = 3  # the request has completed since
 
 
-_WEIGHTS: Final = {Suspicion.STARTED: 2, Suspicion.NO_EVENT: 3, Suspicion.CLEARED: 0}
+_WEIGHTS: Final = {Suspicion.BEGUN: 2, Suspicion.UNHEARD: 3, Suspicion.CLEARED: 0}
 
 
 @dataclass(slots=True)
--- a/packages/node/src/vaneturn_node/traffic/serving/plain.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/plain.py
@@ -152,7 +152,7 @@
                 return NotRun(error.cause, is_unreachable=True)
             context.runs += 1
             if not error.is_unresponsive:
-                await self._parts.crash_watch.record_cut_connection(server, context.content, Suspicion.NO_EVENT)
+                await self._parts.crash_watch.record_cut_connection(server, context.content, Suspicion.UNHEARD)
             return MayHaveRun(error.cause)
         finally:
             if link is not None:
--- a/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
+++ b/packages/node/src/vaneturn_node/traffic/serving/streamtry.py
@@ -85,7 +85,7 @@
     def _suspicion(self) -> Suspicion | None:
         if self._context.is_sound:
             return None
-        return Suspicion.STARTED if self._events else Suspicion.NO_EVENT
+        return Suspicion.BEGUN if self._events else Suspicion.UNHEARD
 
     async def run(self) -> TryOutcome | None:
         """Relay the answer over the chain; return None when it has ended in full."""
--- a/tests/core/traffic/test_crashes.py
+++ b/tests/core/traffic/test_crashes.py
@@ -35,7 +35,7 @@
     def __post_init__(self) -> None:
         self.board = CrashBoard(lambda: self.now, lambda: self.software)
 
-    def end(self, server: int, *contents: Content, word: Suspicion = Suspicion.NO_EVENT, software: str = "v1") -> None:
+    def end(self, server: int, *contents: Content, word: Suspicion = Suspicion.UNHEARD, software: str = "v1") -> None:
         for content in contents:
             self.board.record_lost_connection(SERVERS[server], software, content, word)
         self.board.confirm(SERVERS[server])
@@ -67,14 +67,14 @@
     scene = Scene()
     for server in range(3):
         assert not scene.board.is_barred(GUILTY)
-        scene.end(server, GUILTY, word=Suspicion.STARTED)
+        scene.end(server, GUILTY, word=Suspicion.BEGUN)
     assert scene.board.is_barred(GUILTY)
 
 
 def test_lost_connection_to_a_server_that_goes_on_says_nothing() -> None:
     scene = Scene()
     for server in range(4):
-        scene.board.record_lost_connection(SERVERS[server], "v1", GUILTY, Suspicion.NO_EVENT)
+        scene.board.record_lost_connection(SERVERS[server], "v1", GUILTY, Suspicion.UNHEARD)
     assert not scene.board.is_barred(GUILTY)
     assert scene.board.confirm_absent(SERVERS) == []
     assert sorted(scene.board.confirm_absent(SERVERS[2:])) == SERVERS[:2]
@@ -84,9 +84,9 @@
 def test_connection_that_was_lost_long_before_its_server_ended_says_nothing() -> None:
     scene = Scene()
     for server in range(2):
-        scene.board.record_lost_connection(SERVERS[server], "v1", GUILTY, Suspicion.NO_EVENT)
+        scene.board.record_lost_connection(SERVERS[server], "v1", GUILTY, Suspicion.UNHEARD)
     scene.now += 20.0
-    scene.board.record_lost_connection(SERVERS[2], "v1", OTHER, Suspicion.NO_EVENT)
+    scene.board.record_lost_connection(SERVERS[2], "v1", OTHER, Suspicion.UNHEARD)
     assert scene.board.confirm_absent([]) == [SERVERS[2]]
     assert not scene.board.is_barred(GUILTY)
 
@@ -102,7 +102,7 @@
 
 def test_word_of_another_node_confirms_an_end_that_was_only_supposed() -> None:
     scene, other = Scene(), Scene()
-    scene.board.record_lost_connection(SERVERS[0], "v1", GUILTY, Suspicion.NO_EVENT)
+    scene.board.record_lost_connection(SERVERS[0], "v1", GUILTY, Suspicion.UNHEARD)
     scene.end(1, GUILTY)
     other.end(0, OTHER)
     scene.board.join(other.board.list_crashes())
@@ -189,7 +189,7 @@
     for number in range(2 * MAX_CRASHES):
         server = ServerId(f"i-{number}")
         for content in range(2 * MAX_SUSPECTS):
-            scene.board.record_lost_connection(server, "v1", Content(content), Suspicion.NO_EVENT)
+            scene.board.record_lost_connection(server, "v1", Content(content), Suspicion.UNHEARD)
         scene.board.confirm(server)
     ends = scene.board.list_crashes()
     assert len(ends) == MAX_CRASHES
@@ -202,7 +202,7 @@
 def test_request_without_an_event_is_kept_before_those_with_some() -> None:
     scene = Scene()
     for content in range(10, 10 + MAX_SUSPECTS):
-        scene.board.record_lost_connection(SERVERS[0], "v1", Content(content), Suspicion.STARTED)
+        scene.board.record_lost_connection(SERVERS[0], "v1", Content(content), Suspicion.BEGUN)
     scene.end(0, GUILTY)
     scene.end(1, GUILTY)
     assert scene.board.is_barred(GUILTY)
--- a/tests/node/traffic/following/test_serverentries.py
+++ b/tests/node/traffic/following/test_serverentries.py
@@ -157,7 +157,7 @@
     belief = node.beliefs[first.id]
     belief.record_failure(time.monotonic())
     belief.is_replaced, belief.leading, belief.reserved = True, 4, 900.0
-    node.parts.crashes.record_lost_connection(first.id, "v1", Content(1), Suspicion.NO_EVENT)
+    node.parts.crashes.record_lost_connection(first.id, "v1", Content(1), Suspicion.UNHEARD)
     node.put("servers/i-1", SOUND, born=1_790_000_009_000, layers=None)
     node.keeper.forget_lapsed()
     (second,) = node.view.servers.values()
--- a/tests/node/traffic/sharing/test_crashsharing.py
+++ b/tests/node/traffic/sharing/test_crashsharing.py
@@ -58,7 +58,7 @@
         return Reply(200, b"")
 
     def end(self, name: str, server: str) -> None:
-        self.boards[name].record_lost_connection(ServerId(server), "v1", GUILTY, Suspicion.NO_EVENT)
+        self.boards[name].record_lost_connection(ServerId(server), "v1", GUILTY, Suspicion.UNHEARD)
         self.boards[name].confirm(ServerId(server))
 
     def list_barring(self) -> set[str]:
--- a/tests/rig/deadlymodel.py
+++ b/tests/rig/deadlymodel.py
@@ -159,7 +159,7 @@
         for one in lost:
             one.server = None
             if not one.is_sound:
-                word = Suspicion.NO_EVENT if one.heard_at > self.now else Suspicion.STARTED
+                word = Suspicion.UNHEARD if one.heard_at > self.now else Suspicion.BEGUN
                 self._boards[one.node].record_lost_connection(name, "v1", one.content, word)
         for node in sorted({one.node for one in lost}):
             self._boards[node].confirm(name)
