--- a/tests/core/traffic/test_crashes.py
+++ b/tests/core/traffic/test_crashes.py
@@ -209,6 +209,17 @@
     assert len(scene.board.list_suspects(SERVERS[0])) == MAX_SUSPECTS
 
 
+def test_checksum_of_the_same_ends_is_the_same_in_all_builds() -> None:
+    """Nodes of different builds must compute the same checksum of the same crashes."""
+    scene = Scene()
+    scene.end(0, GUILTY, OTHER)
+    scene.end(1, GUILTY, word=Suspicion.BEGUN)
+    assert scene.board.record_completion(OTHER, "v1")
+    found = {suspicion for crash in scene.board.list_crashes().values() for suspicion in crash.suspects.values()}
+    assert found == set(Suspicion)
+    assert scene.board.check == 1221201453
+
+
 Words = dict[ServerId, dict[Content, Suspicion]]
 WORDS = st.dictionaries(
     st.sampled_from(SERVERS),
