--- a/packages/node/src/vaneturn_node/limits/admission.py
+++ b/packages/node/src/vaneturn_node/limits/admission.py
@@ -16,7 +16,7 @@
 from vaneturn_core.outcomes import NotRun, Reason
 from vaneturn_node.metrics import Metrics
 
-INITIAL_ANSWER_TIME_S: Final = 2.0  # initial average duration of an answer, before any was measured
+INITIAL_ANSWER_TIME_S: Final = 2.0  # initial average duration of an answer, until one has been observed
 ANSWER_TIME_WEIGHT: Final = 0.05  # weight of the newest answer in the moving average of durations
 
 
--- a/packages/node/src/vaneturn_node/platform/store.py
+++ b/packages/node/src/vaneturn_node/platform/store.py
@@ -14,7 +14,7 @@
 from vaneturn_core.traffic.servers import ServerAddress
 from vaneturn_node.http1.caller import BodyArrival, Caller, Failed, Reply
 
-CALL_TIMEOUT_S: Final = 1.0  # a healthy store answers in milliseconds
+TIMEOUT_S: Final = 1.0  # default for a call; a healthy store answers in milliseconds
 WATCH_MARGIN_S: Final = 0.5  # beyond the wait of a watch until the head of the response is due
 MAX_SILENCE_S: Final = 0.5  # the longest pause within the body of a response
 BODY_EXTRA_TIME_S: Final = 0.6  # added for the body of a watch's response; the longest value takes 0.56 s at 20 Mbit/s
@@ -203,12 +203,7 @@
         return await self._call("GET", target, arrival=BodyArrival(math.inf, MAX_SILENCE_S))
 
     async def _call(
-        self,
-        method: str,
-        target: str,
-        limit: float = CALL_TIMEOUT_S,
-        body: bytes = b"",
-        arrival: BodyArrival | None = None,
+        self, method: str, target: str, limit: float = TIMEOUT_S, body: bytes = b"", arrival: BodyArrival | None = None
     ) -> Reply | NotDone | MaybeDone:
         reply = await self._caller.call(self._address, method, target, limit, body=body, arrival=arrival)
         if isinstance(reply, Failed):
